--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,230 +1,343 @@
-//! The simulator's wire: one JSON value a line, typed and borrowed from the line.
+//! The simulator's wire: one JSON value per line, typed and borrowed from the line.
+//!
+//! The wire has names of its own; each gets the term of the field here, and the wire's name stands
+//! in its `rename` attribute.
 
-use pumiceway_decisions::settings::Conf;
+use pumiceway_decisions::settings::DeploymentSettings;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
+/// Events of one moment, for any instances.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "sim-time-us")]
-    pub now: u64,
-    #[serde(borrow)]
-    pub items: Vec<Item<'a>>,
+    pub now_us: u64,
+    #[serde(borrow, rename = "items")]
+    pub events: Vec<Event<'a>>,
 }
 
+/// What the simulator tells an instance.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Item<'a> {
-    Boot(Box<Boot>),
-    #[serde(borrow)]
-    Announce(Announce<'a>),
-    #[serde(borrow)]
-    Knock(Knock<'a>),
-    Established(Only),
-    #[serde(borrow)]
-    UpdateOf(UpdateOf<'a>),
-    #[serde(borrow)]
-    Response(Response<'a>),
-    #[serde(borrow)]
-    Abandoned(Abandoned<'a>),
-    Elapsed(Elapsed),
-    #[serde(borrow)]
-    Probed(Probed<'a>),
-    Whisper(Only),
-    Shutdown(Only),
+pub enum Event<'a> {
+    /// The instance starts.
+    #[serde(rename = "boot")]
+    Start(Box<Start>),
+    #[serde(borrow, rename = "announce")]
+    EndpointList(EndpointList<'a>),
+    #[serde(borrow, rename = "knock")]
+    RequestArrived(RequestArrived<'a>),
+    /// A stream is open; only streamed classes, which nothing here uses, get it.
+    #[serde(rename = "established")]
+    StreamOpened(InstanceOnly),
+    #[serde(borrow, rename = "update-of")]
+    AttemptProgressed(AttemptProgressed<'a>),
+    #[serde(borrow, rename = "response")]
+    AttemptFinished(AttemptFinished<'a>),
+    #[serde(borrow, rename = "abandoned")]
+    ClientDisconnected(ClientDisconnected<'a>),
+    #[serde(rename = "elapsed")]
+    TimerFired(TimerFired),
+    #[serde(borrow, rename = "probed")]
+    HealthChecked(HealthChecked<'a>),
+    /// A message of another dispatcher; nothing here uses it.
+    #[serde(rename = "whisper")]
+    Gossip(InstanceOnly),
+    /// The instance ends.
+    #[serde(rename = "shutdown")]
+    Shutdown(InstanceOnly),
 }
 
+impl Event<'_> {
+    /// The instance that the event is for.
+    pub fn instance(&self) -> u64 {
+        match self {
+            Event::Start(event) => event.instance,
+            Event::EndpointList(event) => event.instance,
+            Event::RequestArrived(event) => event.instance,
+            Event::AttemptProgressed(event) => event.instance,
+            Event::AttemptFinished(event) => event.instance,
+            Event::ClientDisconnected(event) => event.instance,
+            Event::TimerFired(event) => event.instance,
+            Event::HealthChecked(event) => event.instance,
+            Event::StreamOpened(event) | Event::Gossip(event) | Event::Shutdown(event) => {
+                event.instance
+            }
+        }
+    }
+}
+
+/// An event of which only the instance matters.
 #[derive(Deserialize)]
-pub struct Only {
-    pub i: u64,
+pub struct InstanceOnly {
+    #[serde(rename = "i")]
+    pub instance: u64,
 }
 
+/// The start of an instance.
 #[derive(Deserialize)]
-pub struct Boot {
-    pub i: u64,
-    pub entropy: u64,
-    pub conf: Conf,
+pub struct Start {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "entropy")]
+    pub seed: u64,
+    #[serde(rename = "conf")]
+    pub settings: DeploymentSettings,
 }
 
+/// The endpoint list, or changes to it.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Announce<'a> {
-    pub i: u64,
-    pub how: How,
-    #[serde(borrow, default)]
-    pub members: Vec<Member<'a>>,
+pub struct EndpointList<'a> {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "how")]
+    pub kind: ListKind,
+    #[serde(borrow, default, rename = "members")]
+    pub entries: Vec<EndpointEntry<'a>>,
 }
 
+/// What the entries of a list stand for.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum How {
-    Incr,
-    Total,
-    WarmCopy,
-    Lost,
+pub enum ListKind {
+    #[serde(rename = "incr")]
+    Delta,
+    #[serde(rename = "total")]
+    Snapshot,
+    #[serde(rename = "warm_copy")]
+    Bootstrap,
+    #[serde(rename = "lost")]
+    SourceLost,
 }
 
+/// An entry of the endpoint list.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Member<'a> {
-    #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    #[serde(default)]
-    pub ready_at_us: u64,
-    pub units: Option<f64>,
-    #[serde(borrow)]
-    pub campus: Option<Cow<'a, str>>,
-    pub availability: Availability,
-    pub cohort: Option<u64>,
-    #[serde(borrow)]
-    pub sku: Option<Cow<'a, str>>,
+pub struct EndpointEntry<'a> {
+    #[serde(borrow, rename = "worker")]
+    pub name: Cow<'a, str>,
+    #[serde(default, rename = "ready-at-us")]
+    pub started_at_us: u64,
+    #[serde(rename = "units")]
+    pub weight: Option<f64>,
+    #[serde(borrow, rename = "campus")]
+    pub zone: Option<Cow<'a, str>>,
+    #[serde(rename = "availability")]
+    pub state: EndpointState,
+    #[serde(rename = "cohort")]
+    pub cell: Option<u64>,
+    #[serde(borrow, rename = "sku")]
+    pub kind: Option<Cow<'a, str>>,
 }
 
+/// State of an endpoint.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum Availability {
-    Healthy,
-    Cordoned,
-    Deregistered,
+pub enum EndpointState {
+    #[serde(rename = "healthy")]
+    Ready,
+    #[serde(rename = "cordoned")]
+    Draining,
+    #[serde(rename = "deregistered")]
+    Gone,
 }
 
+/// A request.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Knock<'a> {
-    pub i: u64,
-    #[serde(borrow)]
-    pub corr: Cow<'a, str>,
-    #[serde(borrow)]
-    pub qos: Cow<'a, str>,
-    pub left_us: u64,
-    pub mem_needed: Option<f64>,
+pub struct RequestArrived<'a> {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(borrow, rename = "corr")]
+    pub request: Cow<'a, str>,
+    #[serde(borrow, rename = "qos")]
+    pub class: Cow<'a, str>,
+    #[serde(rename = "left-us")]
+    pub remaining_us: u64,
+    #[serde(rename = "mem-needed")]
+    pub memory: Option<f64>,
     pub slots: Option<f64>,
-    pub expected_us: Option<u64>,
-    pub path_key: Option<u64>,
+    #[serde(rename = "expected-us")]
+    pub work_hint_us: Option<u64>,
+    #[serde(rename = "path-key")]
+    pub affinity_key: Option<u64>,
     /// A name; a number where there are no tenants.
-    pub team: Option<serde_json::Value>,
+    #[serde(rename = "team")]
+    pub tenant: Option<serde_json::Value>,
 }
 
+/// Progress of an attempt.
 #[derive(Deserialize)]
-pub struct UpdateOf<'a> {
-    pub i: u64,
-    #[serde(borrow)]
-    pub corr: Cow<'a, str>,
-    #[serde(default)]
-    pub x: f64,
-    #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    #[serde(default)]
-    pub shot: usize,
-    #[serde(default)]
-    pub sort: u64,
+pub struct AttemptProgressed<'a> {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(borrow, rename = "corr")]
+    pub request: Cow<'a, str>,
+    #[serde(default, rename = "x")]
+    pub fraction: f64,
+    #[serde(borrow, rename = "worker")]
+    pub endpoint: Cow<'a, str>,
+    #[serde(default, rename = "shot")]
+    pub attempt_index: usize,
+    /// [`UPDATE_STARTED`] or [`UPDATE_FRACTION`]; others have no meaning here.
+    #[serde(default, rename = "sort")]
+    pub update: u64,
 }
 
+/// The attempt has started.
+pub const UPDATE_STARTED: u64 = 1;
+/// A fraction of the attempt's work is done.
+pub const UPDATE_FRACTION: u64 = 2;
+
+/// The end of an attempt.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Response<'a> {
-    pub i: u64,
-    #[serde(borrow)]
-    pub corr: Cow<'a, str>,
-    #[serde(default)]
-    pub shot: usize,
-    #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    pub reason: Reason,
-    #[serde(default)]
-    pub spent_us: u64,
-    #[serde(default)]
-    pub closed: bool,
-    pub stats: Option<Vec<f64>>,
+pub struct AttemptFinished<'a> {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(borrow, rename = "corr")]
+    pub request: Cow<'a, str>,
+    #[serde(default, rename = "shot")]
+    pub attempt_index: usize,
+    #[serde(borrow, rename = "worker")]
+    pub endpoint: Cow<'a, str>,
+    #[serde(rename = "reason")]
+    pub outcome: Outcome,
+    #[serde(default, rename = "spent-us")]
+    pub latency_us: u64,
+    #[serde(default, rename = "closed")]
+    pub request_done: bool,
+    #[serde(rename = "stats")]
+    pub report: Option<Vec<f64>>,
 }
 
+/// How an attempt or a health check ended.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum Reason {
-    Pass,
-    Fault,
-    NoRoom,
-    TooSlow,
-    NoRoute,
-    Cut,
-    Undone,
-    StaleSend,
+pub enum Outcome {
+    #[serde(rename = "pass")]
+    Success,
+    #[serde(rename = "fault")]
+    Error,
+    #[serde(rename = "no_room")]
+    Rejected,
+    #[serde(rename = "too_slow")]
+    Timeout,
+    #[serde(rename = "no_route")]
+    ConnectFailed,
+    #[serde(rename = "cut")]
+    Reset,
+    #[serde(rename = "undone")]
+    Cancelled,
+    #[serde(rename = "stale_send")]
+    NotSent,
 }
 
+/// The client of a request has disconnected.
 #[derive(Deserialize)]
-pub struct Abandoned<'a> {
-    pub i: u64,
-    #[serde(borrow)]
-    pub corr: Cow<'a, str>,
+pub struct ClientDisconnected<'a> {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(borrow, rename = "corr")]
+    pub request: Cow<'a, str>,
 }
 
+/// A timer has fired.
 #[derive(Deserialize)]
-pub struct Elapsed {
-    pub i: u64,
-    pub nonce: u64,
+pub struct TimerFired {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    /// The number that it was set with.
+    #[serde(rename = "nonce")]
+    pub timer: u64,
 }
 
+/// The end of a health check.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Probed<'a> {
-    pub i: u64,
-    pub reason: Reason,
-    #[serde(default)]
-    pub spent_us: u64,
-    #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    pub stats: Option<Vec<f64>>,
+pub struct HealthChecked<'a> {
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "reason")]
+    pub outcome: Outcome,
+    #[serde(default, rename = "spent-us")]
+    pub latency_us: u64,
+    #[serde(borrow, rename = "worker")]
+    pub endpoint: Cow<'a, str>,
+    #[serde(rename = "stats")]
+    pub report: Option<Vec<f64>>,
 }
 
+/// The reply to a batch.
 #[derive(Serialize)]
-pub struct Reply<'a> {
-    pub orders: Vec<Order<'a>>,
+pub struct Reply {
+    pub orders: Vec<Order>,
 }
 
+/// What an instance wants done.
 #[derive(Serialize)]
-#[serde(rename_all = "kebab-case", rename_all_fields = "kebab-case")]
-pub enum Order<'a> {
-    PassOn {
-        i: u64,
-        corr: Cow<'a, str>,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        allow_for_us: Option<u64>,
-        worker: Cow<'a, str>,
+pub enum Order {
+    #[serde(rename = "pass-on")]
+    Send {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "corr")]
+        request: String,
+        #[serde(rename = "allow-for-us", skip_serializing_if = "Option::is_none")]
+        timeout_us: Option<u64>,
+        #[serde(rename = "worker")]
+        endpoint: String,
     },
-    AbortAttempt {
-        i: u64,
-        corr: Cow<'a, str>,
-        shot: usize,
+    #[serde(rename = "abort-attempt")]
+    Cancel {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "corr")]
+        request: String,
+        #[serde(rename = "shot")]
+        attempt_index: usize,
     },
-    Decline {
-        i: u64,
-        corr: Cow<'a, str>,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        cool_down_us: Option<u64>,
+    #[serde(rename = "decline")]
+    Shed {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "corr")]
+        request: String,
+        #[serde(rename = "cool-down-us", skip_serializing_if = "Option::is_none")]
+        retry_after_us: Option<u64>,
     },
-    DropRequest {
-        i: u64,
-        corr: Cow<'a, str>,
+    #[serde(rename = "drop-request")]
+    Fail {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "corr")]
+        request: String,
     },
-    HealthCheck {
-        i: u64,
-        worker: Cow<'a, str>,
+    #[serde(rename = "health-check")]
+    CheckHealth {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "worker")]
+        endpoint: String,
     },
-    HangUp {
-        i: u64,
-        worker: Cow<'a, str>,
+    #[serde(rename = "hang-up")]
+    CloseIdleConnections {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "worker")]
+        endpoint: String,
     },
-    Track {
-        i: u64,
+    #[serde(rename = "track")]
+    Subscribe {
+        #[serde(rename = "i")]
+        instance: u64,
         active: bool,
     },
-    Sleep {
-        i: u64,
+    #[serde(rename = "sleep")]
+    SetTimer {
+        #[serde(rename = "i")]
+        instance: u64,
+        #[serde(rename = "after-us")]
         after_us: u64,
-        nonce: u64,
+        #[serde(rename = "nonce")]
+        timer: u64,
     },
-    SayLog {
-        i: u64,
+    #[serde(rename = "say-log")]
+    Log {
+        #[serde(rename = "i")]
+        instance: u64,
         message: String,
     },
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -24,13 +24,24 @@
 
 fn replies(lines: &[&str]) -> Vec<String> {
     let out = talk(lines);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    String::from_utf8(out.stdout).expect("UTF-8").lines().map(str::to_owned).collect()
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
+    String::from_utf8(out.stdout)
+        .expect("UTF-8")
+        .lines()
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(replies(&[r#"{"sim-time-us":5,"items":[]}"#]), [r#"{"orders":[]}"#]);
+    assert_eq!(
+        replies(&[r#"{"sim-time-us":5,"items":[]}"#]),
+        [r#"{"orders":[]}"#]
+    );
 }
 
 #[test]
@@ -38,8 +49,16 @@
     let reset = r#"{"sim-time-us":1100000,"items":[{"response":{"i":3,"corr":"r-1","shot":0,"worker":"h:1","reason":"cut","spent-us":95000,"stats":[1,0.5]}}]}"#;
     let late = r#"{"sim-time-us":1200000,"items":[{"abandoned":{"i":3,"corr":"r-1"}}]}"#;
     let out = replies(&[BOOT, KNOCK, reset, late]);
-    assert!(out[1].contains(r#"{"pass-on":{"i":3,"corr":"r-1","worker":"h:1"}}"#), "{}", out[1]);
-    assert!(out[2].contains(r#"{"drop-request":{"i":3,"corr":"r-1"}}"#), "{}", out[2]);
+    assert!(
+        out[1].contains(r#"{"pass-on":{"i":3,"corr":"r-1","worker":"h:1"}}"#),
+        "{}",
+        out[1]
+    );
+    assert!(
+        out[2].contains(r#"{"drop-request":{"i":3,"corr":"r-1"}}"#),
+        "{}",
+        out[2]
+    );
     assert_eq!(out[3], r#"{"orders":[]}"#);
 }
 
@@ -65,7 +84,10 @@
     let settings = BOOT.replace(r#""most-tries":2"#, r#""most-tries":0"#);
     let cases: [(&[&str], &str); 8] = [
         (&["nonsense"], "not a batch"),
-        (&[r#"{"sim-time-us":1,"items":[{"knock":{"i":3}}]}"#], "not a batch"),
+        (
+            &[r#"{"sim-time-us":1,"items":[{"knock":{"i":3}}]}"#],
+            "not a batch",
+        ),
         (&[KNOCK], "unknown instance 3"),
         (&[BOOT, &class], "unknown class x"),
         (&[BOOT, worker], "unknown worker x:1"),
@@ -85,9 +107,14 @@
 #[test]
 fn placement_lists_reach_the_decisions_and_names_that_stand_for_nothing_allow_nobody() {
     let with = |list: &str| BOOT.replace(r#""semantics""#, &format!(r#"{list},"semantics""#));
-    // Where reports exist the worker is asked first; an answer with a free slot lets the request go.
+    // Where reports exist the worker is asked first; an answer with a free slot lets the request
+    // go.
     let probed = r#"{"sim-time-us":1006000,"items":[{"probed":{"i":3,"reason":"pass","worker":"h:1","spent-us":900,"stats":[0,1]}}]}"#;
-    let sends = |list: &str| replies(&[&with(list), KNOCK, probed]).concat().contains("pass-on");
+    let sends = |list: &str| {
+        replies(&[&with(list), KNOCK, probed])
+            .concat()
+            .contains("pass-on")
+    };
     assert!(sends(r#""kinds-open":["k"],"zones-only":["z"]"#));
     assert!(!sends(r#""kinds-open":["other"]"#));
     assert!(!sends(r#""zones-only":[]"#));
--- /dev/null
+++ b/crates/core/src/idempotency_cache/tests.rs
@@ -0,0 +1,65 @@
+use super::*;
+
+fn cache(entries: usize, bytes: usize) -> IdempotencyCache {
+    let time = Duration::from_micros(100);
+    IdempotencyCache::new(Retention {
+        time,
+        entries,
+        running: 2,
+        bytes,
+    })
+}
+
+fn at(micros: u64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
+fn id(number: u64) -> UniqueId {
+    UniqueId(number.to_string())
+}
+
+/// Memory is bounded, and no room is made by forgetting a request that may have run.
+#[test]
+fn responses_are_cached_for_their_time_and_never_evicted() {
+    let mut cache = cache(3, 10);
+    let failed = ClientResponse::Failed(Failure::DeadlineExceeded);
+    for number in 0..3 {
+        assert_eq!(cache.look_up(at(0), &id(number)), Lookup::New);
+        cache.begin(id(number), RequestId(number));
+        assert_eq!(
+            cache.look_up(at(0), &id(number)),
+            Lookup::Running(RequestId(number))
+        );
+        cache.complete(at(number), id(number), &failed);
+    }
+    assert_eq!(cache.look_up(at(99), &id(9)), Lookup::Full);
+    assert_eq!(cache.look_up(at(99), &id(0)), Lookup::Cached(failed));
+    assert_eq!(cache.look_up(at(100), &id(0)), Lookup::New);
+    assert_eq!(cache.len(), 2);
+}
+
+#[test]
+fn results_beyond_the_bound_are_cached_as_failures_and_overload_responses_not_at_all() {
+    let mut cache = cache(9, 10);
+    let result = ClientResponse::Served("12345678".into());
+    for number in 0..3 {
+        cache.begin(id(number), RequestId(number));
+    }
+    assert_eq!(cache.look_up(at(0), &id(7)), Lookup::Full);
+    cache.complete(at(0), id(0), &result);
+    cache.complete(at(1), id(1), &result);
+    cache.complete(
+        at(1),
+        id(2),
+        &ClientResponse::Overloaded { retry_after: None },
+    );
+    assert_eq!(cache.look_up(at(1), &id(0)), Lookup::Cached(result.clone()));
+    let not_cached = ClientResponse::Failed(Failure::ResultNotCached);
+    assert_eq!(cache.look_up(at(1), &id(1)), Lookup::Cached(not_cached));
+    assert_eq!(cache.look_up(at(1), &id(2)), Lookup::New);
+    // The bytes of an expired response are free again.
+    cache.expire(at(500));
+    cache.begin(id(3), RequestId(3));
+    cache.complete(at(500), id(3), &result);
+    assert_eq!(cache.look_up(at(501), &id(3)), Lookup::Cached(result));
+}
--- /dev/null
+++ b/crates/core/src/reducer/attempts.rs
@@ -0,0 +1,292 @@
+//! Attempts in flight. Each has exactly one outcome: an attempt is kept until then and forgotten
+//! with it, so that what comes for it later finds nothing.
+
+use super::requests::OpenRequest;
+use super::timers::Timer;
+use crate::{
+    AttemptId, AttemptOutcome, AttemptUpdate, ClientResponse, Core, Effect, EndpointAddress,
+    Rejection,
+};
+use pumiceway_decisions::api::{
+    self, AttemptProgress, AttemptResult, EndpointId, Idempotency, LoadReport, Outcome, Progress,
+    RequestId, Timestamp,
+};
+use pumiceway_decisions::rules::{self, AttemptRecord, Denial, Execution};
+use std::time::Duration;
+
+/// An attempt is waited for until this long before the client's deadline, as its response has to
+/// arrive before it.
+pub(super) const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+/// How long idle connections are distrusted after one was found dead.
+const DISTRUST_IDLE: Duration = Duration::from_secs(30);
+
+/// An attempt in flight.
+pub(super) struct InFlightAttempt {
+    request: RequestId,
+    attempt_index: usize,
+    endpoint: EndpointId,
+    sent_at: Timestamp,
+    /// When it is no longer waited for.
+    timeout_at: Timestamp,
+}
+
+/// What the decisions want sent.
+pub(super) struct SendRequest {
+    pub(super) request: RequestId,
+    pub(super) endpoint: EndpointId,
+    /// Give it up after this time; `None` or zero: when the client does.
+    pub(super) timeout: Option<Duration>,
+}
+
+impl Core {
+    pub(super) fn send(&mut self, now: Timestamp, send: &SendRequest, effects: &mut Vec<Effect>) {
+        let attempt = AttemptId(self.next_id());
+        let permission = self.send_permission(now, send);
+        let address = self.endpoints.address(send.endpoint).cloned();
+        let (zone, cell) = self.endpoints.zone_and_cell(send.endpoint);
+        let Some(request) = self.requests.get_mut(&send.request) else {
+            return;
+        };
+        let attempt_index = request.attempts.len();
+        let endpoint = send.endpoint;
+        let execution = Execution::InFlight;
+        request.attempts.push(AttemptRecord {
+            endpoint,
+            zone,
+            cell,
+            sent_at: now,
+            execution,
+        });
+        let latest = request.deadline.saturating_sub(RESPONSE_MARGIN);
+        let timeout = send.timeout.filter(|timeout| !timeout.is_zero());
+        let timeout_at = timeout.map_or(latest, |timeout| latest.min(now + timeout));
+        let permission = if timeout_at <= now {
+            Err(Denial::DeadlinePassed)
+        } else {
+            permission
+        };
+        let in_flight = InFlightAttempt {
+            request: send.request,
+            attempt_index,
+            endpoint,
+            sent_at: now,
+            timeout_at,
+        };
+        self.attempts.insert(attempt, in_flight);
+        match (address, permission) {
+            (Some(address), Ok(write_by)) => {
+                effects.push(self.start_attempt(now, attempt, address, write_by));
+            }
+            (_, permission) => {
+                if let Err(denial) = permission {
+                    self.note_denial(denial, effects);
+                }
+                self.end_attempt(now, attempt, Outcome::NotSent, None);
+            }
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        address: EndpointAddress,
+        write_by: Option<Timestamp>,
+    ) -> Effect {
+        let InFlightAttempt {
+            request,
+            attempt_index,
+            endpoint,
+            timeout_at,
+            ..
+        } = self.attempts[&attempt];
+        let request = &self.requests[&request];
+        self.timers.set(timeout_at, Timer::AttemptTimeout(attempt));
+        let until_deadline = request.deadline.saturating_duration_since(now);
+        // A request that must not run twice would be lost with an idle connection that was dropped
+        // unnoticed.
+        let must_not_repeat =
+            self.settings.classes[request.class.0].idempotency == Idempotency::NonIdempotent;
+        Effect::StartAttempt {
+            attempt,
+            attempt_index,
+            endpoint,
+            address,
+            class: request.class,
+            job: request.job.clone(),
+            remaining: until_deadline.min(timeout_at.saturating_duration_since(now)),
+            dedicated_connection: now < self.distrust_idle_until && must_not_repeat,
+            write_by,
+        }
+    }
+
+    /// Whether a request may be sent to an endpoint now, and until when its first byte may be
+    /// written.
+    fn send_permission(
+        &self,
+        now: Timestamp,
+        send: &SendRequest,
+    ) -> Result<Option<Timestamp>, Denial> {
+        let request = self
+            .requests
+            .get(&send.request)
+            .filter(|request| !request.is_done);
+        let request = request.ok_or(Denial::RequestDone)?;
+        let (zone, cell) = self.endpoints.zone_and_cell(send.endpoint);
+        self.permission(now, request).send_to(zone, cell)?;
+        self.endpoints.permission(now, send.endpoint)
+    }
+
+    /// What the rules permit for a request.
+    pub(super) fn permission(&self, now: Timestamp, request: &OpenRequest) -> rules::Permission {
+        rules::permission(
+            now,
+            &self.settings,
+            request.class,
+            request.attempts.iter().copied(),
+        )
+    }
+
+    pub(super) fn cancel(
+        &mut self,
+        now: Timestamp,
+        request: RequestId,
+        attempt_index: usize,
+        effects: &mut Vec<Effect>,
+    ) {
+        let is_named = |attempt: &InFlightAttempt| {
+            attempt.request == request && attempt.attempt_index == attempt_index
+        };
+        let found = self.attempts.iter().find(|(_, attempt)| is_named(attempt));
+        if let Some((&attempt, _)) = found {
+            effects.push(Effect::AbortAttempt { attempt });
+            self.end_attempt(now, attempt, Outcome::Cancelled, None);
+        }
+    }
+
+    pub(super) fn on_attempt_timeout(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        effects: &mut Vec<Effect>,
+    ) {
+        effects.push(Effect::AbortAttempt { attempt });
+        self.end_attempt(now, attempt, Outcome::Timeout, None);
+    }
+
+    pub(super) fn on_attempt_updated(
+        &mut self,
+        attempt: AttemptId,
+        update: &AttemptUpdate,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(in_flight) = self.attempts.get(&attempt) else {
+            return;
+        };
+        let InFlightAttempt {
+            request,
+            attempt_index,
+            endpoint,
+            ..
+        } = *in_flight;
+        let progress = match update {
+            AttemptUpdate::Started => Progress::Started,
+            AttemptUpdate::Fraction(fraction) => Progress::Fraction(*fraction),
+            AttemptUpdate::Data(_) | AttemptUpdate::Warning(_) => Progress::Fraction(0.0),
+        };
+        if let Some(open) = self.requests.get(&request) {
+            let forward = |&handle| Effect::ForwardUpdate {
+                handle,
+                update: update.clone(),
+            };
+            effects.extend(open.handles.iter().map(forward));
+        }
+        let progress = AttemptProgress {
+            request,
+            attempt_index,
+            endpoint,
+            progress,
+        };
+        self.tell_balancer(api::Event::AttemptProgressed(progress));
+    }
+
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(request) = self.attempts.get(&attempt).map(|attempt| attempt.request) else {
+            return;
+        };
+        let outcome = match outcome {
+            AttemptOutcome::Served(result) => {
+                self.respond(now, request, &ClientResponse::Served(result), effects);
+                Outcome::Success
+            }
+            AttemptOutcome::InvalidJob => {
+                // Every other endpoint would find the job invalid as well.
+                let response = ClientResponse::Rejected(Rejection::InvalidJob);
+                self.respond(now, request, &response, effects);
+                Outcome::Error
+            }
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::Rejected => Outcome::Rejected,
+            AttemptOutcome::ConnectFailed => Outcome::ConnectFailed,
+            AttemptOutcome::NotSent => Outcome::NotSent,
+            AttemptOutcome::Reset => Outcome::Reset,
+            AttemptOutcome::IdleConnectionReset => {
+                self.distrust_idle_until = now + DISTRUST_IDLE;
+                Outcome::Reset
+            }
+            AttemptOutcome::TimedOut => Outcome::Timeout,
+        };
+        self.end_attempt(now, attempt, outcome, report);
+    }
+
+    /// Records the one outcome of an attempt, and tells the decisions.
+    fn end_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
+        let Some(ended) = self.attempts.remove(&attempt) else {
+            return;
+        };
+        let InFlightAttempt {
+            request,
+            attempt_index,
+            endpoint,
+            sent_at,
+            timeout_at,
+        } = ended;
+        self.timers
+            .cancel(timeout_at, Timer::AttemptTimeout(attempt));
+        let mut request_done = true;
+        if let Some(open) = self.requests.get_mut(&request) {
+            let never_ran = outcome.never_ran();
+            open.attempts[attempt_index].execution = if never_ran {
+                Execution::NeverRan
+            } else {
+                Execution::MayHaveRun
+            };
+            request_done = open.is_done;
+        }
+        let latency = now.saturating_duration_since(sent_at);
+        let result = AttemptResult {
+            request,
+            attempt_index,
+            endpoint,
+            outcome,
+            latency,
+            request_done,
+            report,
+        };
+        self.tell_balancer(api::Event::AttemptFinished(result));
+        self.forget_if_over(request);
+    }
+}
--- /dev/null
+++ b/crates/core/tests/common/mod.rs
@@ -0,0 +1,266 @@
+//! A host for tests of the core: it keeps the clock, hands in events and picks out effects.
+//!
+//! It models no endpoint: each test says how attempts end, and when.
+#![allow(dead_code)] // each test file uses its own part
+
+#[path = "../../../decisions/tests/common/mod.rs"]
+mod decisions_common;
+pub mod deployments;
+
+pub use decisions_common::{MS, START, class, settings};
+
+use bytes::Bytes;
+use pumiceway_core::*;
+use pumiceway_decisions::api::{
+    ClassId, EndpointId, EndpointState, Idempotency, KindId, LoadReportSource, Settings, Timestamp,
+    ZoneId,
+};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The class of the settings that [`single_class`] returns.
+pub const ONLY_CLASS: usize = 0;
+
+/// The interval at which [`TestCore::advance`] fires the timer.
+const TICK: Duration = Duration::from_millis(5);
+
+/// A core on a clock of the test's own.
+pub struct TestCore {
+    core: Core,
+    pub now: Timestamp,
+    /// The core has reported that the dispatcher is ready.
+    pub is_ready: bool,
+    /// The deadline of each class.
+    deadlines: Vec<Duration>,
+}
+
+impl TestCore {
+    /// A core whose discovery service lists these endpoints.
+    pub fn new(settings: Settings, endpoints: &[Endpoint]) -> TestCore {
+        TestCore::with_retention(settings, endpoints, Retention::default())
+    }
+
+    pub fn with_retention(
+        settings: Settings,
+        endpoints: &[Endpoint],
+        retention: Retention,
+    ) -> TestCore {
+        let mut core = TestCore::without_list(settings, retention);
+        core.list(endpoints);
+        core
+    }
+
+    /// A core that no source has sent an endpoint list.
+    pub fn without_list(settings: Settings, retention: Retention) -> TestCore {
+        let deadlines = settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .collect();
+        let core = Core::new(settings, 7, retention).unwrap();
+        TestCore {
+            core,
+            now: START,
+            is_ready: false,
+            deadlines,
+        }
+    }
+
+    pub fn reduce(&mut self, event: Event) -> Vec<Effect> {
+        let effects = self.core.reduce(self.now, event);
+        self.is_ready |= effects.contains(&Effect::ReportReady);
+        effects
+    }
+
+    pub fn overview(&self) -> Overview {
+        self.core.overview()
+    }
+
+    /// Discovery lists exactly these endpoints.
+    pub fn list(&mut self, endpoints: &[Endpoint]) -> Vec<Effect> {
+        self.update_list(EndpointListUpdate::Snapshot(endpoints.to_vec()))
+    }
+
+    /// Discovery sends an update, as of the start of the test.
+    pub fn update_list(&mut self, update: EndpointListUpdate) -> Vec<Effect> {
+        self.update_list_from(EndpointSource::Discovery, START, update)
+    }
+
+    pub fn update_list_from(
+        &mut self,
+        source: EndpointSource,
+        as_of: Timestamp,
+        update: EndpointListUpdate,
+    ) -> Vec<Effect> {
+        self.reduce(Event::EndpointListUpdated {
+            source,
+            as_of,
+            update,
+        })
+    }
+
+    /// A client submits a request that waits for as long as its class allows.
+    pub fn submit(&mut self, class: usize, handle: u64) -> Vec<Effect> {
+        self.submit_for(class, handle, self.deadlines[class])
+    }
+
+    /// A client submits a request and waits for this long.
+    pub fn submit_for(&mut self, class: usize, handle: u64, remaining: Duration) -> Vec<Effect> {
+        self.submit_as(class, handle, &format!("t{handle}"), remaining)
+    }
+
+    /// A client submits a request under this request id.
+    pub fn submit_as(
+        &mut self,
+        class: usize,
+        handle: u64,
+        id: &str,
+        remaining: Duration,
+    ) -> Vec<Effect> {
+        self.submit_request(handle, request(class, id, remaining))
+    }
+
+    pub fn submit_request(&mut self, handle: u64, request: ClientRequest) -> Vec<Effect> {
+        self.reduce(Event::RequestSubmitted {
+            handle: RequestHandle(handle),
+            request,
+        })
+    }
+
+    pub fn disconnect(&mut self, handle: u64) -> Vec<Effect> {
+        self.reduce(Event::ClientDisconnected {
+            handle: RequestHandle(handle),
+        })
+    }
+
+    pub fn end_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Vec<Effect> {
+        self.reduce(Event::AttemptEnded {
+            attempt,
+            outcome,
+            report: None,
+        })
+    }
+
+    pub fn fire_timer(&mut self) -> Vec<Effect> {
+        self.reduce(Event::TimerFired)
+    }
+
+    /// Lets time pass, with a timer that fires at every tick.
+    pub fn advance(&mut self, span: Duration) -> Vec<Effect> {
+        let end = self.now + span;
+        let mut effects = Vec::new();
+        while self.now < end {
+            self.now = (self.now + TICK).min(end);
+            effects.extend(self.fire_timer());
+        }
+        effects
+    }
+}
+
+/// Settings with one class, without health checks or load reports.
+pub fn single_class(idempotency: Idempotency) -> Settings {
+    Settings {
+        health_checks: false,
+        load_reports: LoadReportSource::None,
+        ..settings(idempotency)
+    }
+}
+
+/// A ready endpoint that started long ago.
+pub fn endpoint(name: &str) -> Endpoint {
+    Endpoint {
+        name: name.to_owned(),
+        address: EndpointAddress::Network(format!("{name}:1")),
+        zone: ZoneId(0),
+        kind: KindId(0),
+        cell: Some(0),
+        state: EndpointState::Ready,
+        started_at: Timestamp::ORIGIN,
+        relative_size: 1.0,
+        starts_warm: false,
+        max_concurrent: None,
+    }
+}
+
+/// A request without a unique id.
+pub fn request(class: usize, id: &str, remaining: Duration) -> ClientRequest {
+    let job = Job {
+        id: id.to_owned(),
+        path: format!("/c{class}/k"),
+        idempotency_key: Some("key".to_owned()),
+        body: Bytes::new(),
+    };
+    ClientRequest {
+        class: ClassId(class),
+        remaining,
+        slots: 1.0,
+        memory: 0.0,
+        tenant: None,
+        job: Arc::new(job),
+        unique_id: None,
+    }
+}
+
+/// The outcome of an attempt that was served.
+pub fn served() -> AttemptOutcome {
+    AttemptOutcome::Served("x".into())
+}
+
+/// The response to a request whose attempt ended with [`served`].
+pub fn served_response() -> ClientResponse {
+    ClientResponse::Served("x".into())
+}
+
+/// The attempts that are to be started, each with its endpoint.
+pub fn started_attempts_at(effects: &[Effect]) -> Vec<(AttemptId, EndpointId)> {
+    effects
+        .iter()
+        .filter_map(|effect| match effect {
+            Effect::StartAttempt {
+                attempt, endpoint, ..
+            } => Some((*attempt, *endpoint)),
+            _ => None,
+        })
+        .collect()
+}
+
+/// The attempts that are to be started.
+pub fn started_attempts(effects: &[Effect]) -> Vec<AttemptId> {
+    started_attempts_at(effects)
+        .into_iter()
+        .map(|(attempt, _)| attempt)
+        .collect()
+}
+
+/// The final responses, each with the handle of its client.
+pub fn responses(effects: &[Effect]) -> Vec<(u64, ClientResponse)> {
+    effects
+        .iter()
+        .filter_map(|effect| match effect {
+            Effect::Respond { handle, response } => Some((handle.0, response.clone())),
+            _ => None,
+        })
+        .collect()
+}
+
+/// The handles of the clients that get a final response.
+pub fn responded_handles(effects: &[Effect]) -> Vec<u64> {
+    responses(effects)
+        .into_iter()
+        .map(|(handle, _)| handle)
+        .collect()
+}
+
+/// Whether the only response is an overload response to this client, with a back-off if and only if
+/// the settings allow one, and within their bound.
+pub fn is_only_overload_response(
+    settings: &Settings,
+    responses: &[(u64, ClientResponse)],
+    handle: u64,
+) -> bool {
+    let [(to, ClientResponse::Overloaded { retry_after })] = responses else {
+        return false;
+    };
+    let is_within_bound = retry_after.map(|back_off| back_off <= settings.max_retry_after);
+    *to == handle && is_within_bound == settings.retry_after.then_some(true)
+}
--- /dev/null
+++ b/crates/core/tests/endpoint_ids.rs
@@ -0,0 +1,211 @@
+//! Handles of endpoints: how long an endpoint keeps its handle, and when a new name gets it.
+
+mod common;
+
+use common::deployments::{IDEMPOTENT, KEYED, NON_IDEMPOTENT, deployments};
+use common::{
+    MS, TestCore, endpoint, responded_handles, responses, served, served_response,
+    started_attempts, started_attempts_at,
+};
+use pumiceway_core::*;
+use pumiceway_decisions::api::{EndpointId, EndpointState, Outcome, Settings};
+use std::collections::HashSet;
+use std::ops::Range;
+
+/// Endpoints that are gone and remembered, as in the endpoint set.
+const MAX_GONE: usize = 1_024;
+
+fn numbered_endpoint(number: usize) -> Endpoint {
+    endpoint(&format!("n{number}"))
+}
+
+/// Lists a single endpoint of a new name, for each of these numbers.
+fn list_one_by_one(core: &mut TestCore, numbers: Range<usize>) -> Vec<Effect> {
+    numbers
+        .flat_map(|number| core.list(&[numbered_endpoint(number)]))
+        .collect()
+}
+
+/// Whether the idle connections to an endpoint are to be closed, as its handle goes to another.
+fn closes_idle_connections(effects: &[Effect], endpoint: EndpointId) -> bool {
+    effects.contains(&Effect::CloseIdleConnections { endpoint })
+}
+
+/// The address of the first attempt that is to be started.
+fn first_address(effects: &[Effect]) -> Option<&EndpointAddress> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::StartAttempt { address, .. } => Some(address),
+        _ => None,
+    })
+}
+
+/// Memory is bounded whatever names are listed: in the core, in the decisions, which have a row for
+/// each handle, and in the host, which keeps the connections to an endpoint until
+/// `CloseIdleConnections`.
+#[test]
+fn any_number_of_names_takes_a_bounded_number_of_handles() {
+    for settings in deployments() {
+        let mut core = TestCore::new(settings, &[]);
+        let mut connected = HashSet::new();
+        for number in 0..3_000 {
+            let listed = numbered_endpoint(number);
+            let address = listed.address.clone();
+            for effect in core.list(&[listed]) {
+                if let Effect::CloseIdleConnections { endpoint } = effect {
+                    assert!(
+                        connected.remove(&endpoint),
+                        "{number}: {endpoint:?} closed before"
+                    );
+                }
+            }
+            let effects = core.submit(IDEMPOTENT, number as u64);
+            let [(attempt, endpoint)] = started_attempts_at(&effects)[..] else {
+                panic!("{number}: {effects:?}")
+            };
+            assert_eq!(first_address(&effects), Some(&address), "{effects:?}");
+            assert!(
+                connected.insert(endpoint),
+                "{number}: {endpoint:?} is not closed yet"
+            );
+            assert_eq!(responses(&core.end_attempt(attempt, served())).len(), 1);
+            let (known, max) = (core.overview().endpoints.len(), MAX_GONE + 2);
+            assert!(
+                known <= max && connected.len() <= max,
+                "{number}: {known} known, {} connected",
+                connected.len()
+            );
+            assert!((endpoint.0 as usize) < max, "{number}: {endpoint:?}");
+        }
+    }
+}
+
+/// A new endpoint under its handle would be blamed, or not tried, for the attempts of one that is
+/// gone. Once nothing refers to that one any more, its handle goes to the next new name.
+#[test]
+fn an_endpoint_with_open_requests_keeps_its_handle() {
+    for settings in deployments() {
+        let mut core = TestCore::new(settings.clone(), &[]);
+        let single_slot = |name: &str| Endpoint {
+            max_concurrent: Some(1),
+            ..endpoint(name)
+        };
+        core.list(&[single_slot("in-flight"), single_slot("tried")]);
+        // One request is in flight at the first endpoint; another has failed at the second, and is
+        // queued.
+        let [(in_flight, busy)] = started_attempts_at(&core.submit(KEYED, 1))[..] else {
+            panic!()
+        };
+        let [(failing, tried)] = started_attempts_at(&core.submit(NON_IDEMPOTENT, 2))[..] else {
+            panic!()
+        };
+        core.list(&[]);
+        let failed = core.end_attempt(failing, AttemptOutcome::ConnectFailed);
+        assert_eq!(started_attempts_at(&failed), []);
+        let is_queued = settings.max_attempts > 1;
+        let mut effects = Vec::new();
+        for number in 0..3 * MAX_GONE {
+            // Draining, so that nothing is sent there.
+            let state = EndpointState::Draining;
+            effects.extend(core.list(&[Endpoint {
+                state,
+                ..numbered_endpoint(number)
+            }]));
+        }
+        assert!(
+            !closes_idle_connections(&effects, busy),
+            "its attempt is in flight"
+        );
+        let is_closed = closes_idle_connections(&effects, tried);
+        assert_eq!(
+            is_closed, !is_queued,
+            "a request that was tried there is queued"
+        );
+        // The endpoint comes back as it was: its one slot is taken until the attempt ends.
+        let returned = core.list(&[single_slot("in-flight")]);
+        assert_eq!(started_attempts_at(&returned), []);
+        assert_eq!(started_attempts_at(&core.submit(IDEMPOTENT, 3)), []);
+        let mut ended = core.end_attempt(in_flight, served());
+        assert_eq!(responses(&ended)[0], (1, served_response()));
+        // The queued requests are sent there now, one after the other.
+        let mut responded = Vec::new();
+        while let Some(&(attempt, endpoint)) = started_attempts_at(&ended).first() {
+            assert_eq!(endpoint, busy);
+            ended = core.end_attempt(attempt, served());
+            responded.extend(responded_handles(&ended));
+        }
+        responded.sort_unstable();
+        assert_eq!(responded, if is_queued { vec![2, 3] } else { vec![3] });
+        let effects = list_one_by_one(&mut core, 4 * MAX_GONE..6 * MAX_GONE);
+        let is_tried_closed = closes_idle_connections(&effects, tried);
+        assert!(closes_idle_connections(&effects, busy) && (!is_queued || is_tried_closed));
+        // A late outcome does not affect the endpoint that has the handle now.
+        assert!(
+            core.end_attempt(in_flight, AttemptOutcome::Reset)
+                .is_empty()
+        );
+    }
+}
+
+/// A new endpoint under its handle would be ejected for the health check of one that is gone.
+#[test]
+fn an_endpoint_with_a_health_check_in_flight_keeps_its_handle() {
+    let [settings, ..] = deployments();
+    let settings = Settings {
+        health_checks: true,
+        ..settings
+    };
+    let mut core = TestCore::new(settings, &[endpoint("checked")]);
+    let [(attempt, endpoint)] = started_attempts_at(&core.submit(IDEMPOTENT, 1))[..] else {
+        panic!()
+    };
+    let suspected = core.end_attempt(attempt, AttemptOutcome::ConnectFailed);
+    let health_check = suspected.iter().find_map(|effect| match effect {
+        Effect::CheckHealth {
+            endpoint, check, ..
+        } => Some((*endpoint, *check)),
+        _ => None,
+    });
+    let (checked, check) = health_check.expect("no health check");
+    assert_eq!(checked, endpoint);
+    core.advance(1_000 * MS);
+    let before = list_one_by_one(&mut core, 0..3 * MAX_GONE);
+    assert!(!closes_idle_connections(&before, endpoint));
+    let (outcome, report) = (Outcome::Timeout, None);
+    core.reduce(Event::HealthChecked {
+        endpoint,
+        check,
+        outcome,
+        report,
+    });
+    let after = list_one_by_one(&mut core, 3 * MAX_GONE..6 * MAX_GONE);
+    assert!(closes_idle_connections(&after, endpoint));
+}
+
+/// An outdated list does not bring back an endpoint that has left, and an endpoint that comes back
+/// does not lose its handle to a new name that stands before it in the same list.
+#[test]
+fn an_endpoint_that_comes_back_has_its_handle() {
+    let [settings, ..] = deployments();
+    let mut core = TestCore::new(settings.clone(), &[endpoint("a")]);
+    list_one_by_one(&mut core, 0..MAX_GONE - 1);
+    core.update_list(EndpointListUpdate::OutdatedSnapshot(vec![endpoint("a")]));
+    assert!(
+        started_attempts(&core.submit(IDEMPOTENT, 1)).is_empty(),
+        "it has left"
+    );
+
+    let endpoints: Vec<Endpoint> = (0..2 * MAX_GONE).map(numbered_endpoint).collect();
+    let mut core = TestCore::new(settings, &endpoints);
+    core.list(&[]);
+    // All of them left at once, so the first may be forgotten first.
+    core.list(&["new", "n0", "new", "n1"].map(endpoint));
+    let known = core.overview().endpoints;
+    let index_of = |name: &str| known.iter().position(|endpoint| endpoint.name == name);
+    let indices = (index_of("n0"), index_of("n1"), index_of("new"));
+    assert_eq!(indices, (Some(0), Some(1), Some(2)));
+    let ready = known
+        .iter()
+        .filter(|endpoint| endpoint.state == EndpointState::Ready);
+    assert_eq!(ready.count(), 3);
+    assert_eq!(known.len(), 2 * MAX_GONE);
+}
--- /dev/null
+++ b/crates/core/tests/jobs.rs
@@ -0,0 +1,30 @@
+//! What is derived from the job of a request.
+
+use bytes::Bytes;
+use pumiceway_core::Job;
+
+/// The affinity key stands for the last segment of a path that has more than the class.
+#[test]
+fn the_affinity_key_is_that_of_the_last_path_segment() {
+    let affinity_key = |path: &str| {
+        let job = Job {
+            id: "a".into(),
+            path: path.into(),
+            idempotency_key: None,
+            body: Bytes::new(),
+        };
+        job.affinity_key()
+    };
+    let without_key = (
+        affinity_key("/rate-push"),
+        affinity_key("/rate-push/"),
+        affinity_key("/"),
+    );
+    assert_eq!(without_key, (None, None, None));
+    assert_eq!(
+        affinity_key("/rate-push/7f3a"),
+        affinity_key("/booking-import/7f3a?x=1")
+    );
+    let key = affinity_key("/rate-push/7f3a");
+    assert!(key.is_some() && key != affinity_key("/rate-push/7f3b"));
+}
--- /dev/null
+++ b/crates/core/tests/repeats.rs
@@ -0,0 +1,262 @@
+//! Requests that are submitted again under the same request id or the same unique id.
+
+mod common;
+
+use common::deployments::{IDEMPOTENT, KEYED, NON_IDEMPOTENT, deployments};
+use common::{
+    MS, ONLY_CLASS, TestCore, endpoint, is_only_overload_response, request, responded_handles,
+    responses, served, served_response, single_class, started_attempts,
+};
+use pumiceway_core::*;
+use pumiceway_decisions::api::{ClassId, Idempotency};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A request with its job changed.
+fn with_job(request: &ClientRequest, change: fn(&mut Job)) -> ClientRequest {
+    let mut job = (*request.job).clone();
+    change(&mut job);
+    ClientRequest {
+        job: Arc::new(job),
+        ..request.clone()
+    }
+}
+
+/// The request of another client is not taken for the open one. Once that has its response, its id
+/// may be used again, but not if the request must not run twice.
+#[test]
+fn an_open_request_id_is_rejected_for_another_path_and_free_again_if_it_may_run_again() {
+    for (idempotency, runs_again) in [
+        (Idempotency::NonIdempotent, 0),
+        (Idempotency::Idempotent, 1),
+    ] {
+        let mut core = TestCore::new(single_class(idempotency), &[endpoint("a")]);
+        let first = request(ONLY_CLASS, "t", 2_000 * MS);
+        let attempt = started_attempts(&core.submit_request(1, first.clone()))[0];
+        let other = with_job(&first, |job| job.path = "/c0/other".into());
+        let second = core.submit_request(2, other);
+        let is_rejected = matches!(responses(&second)[..], [(2, ClientResponse::Rejected(_))]);
+        assert!(is_rejected && second.len() == 1, "{second:?}");
+        assert!(core.disconnect(2).is_empty());
+        let ended = core.end_attempt(attempt, served());
+        assert_eq!(responses(&ended), [(1, served_response())]);
+        let after = core.submit_request(3, first);
+        assert_eq!(started_attempts(&after).len(), runs_again, "{after:?}");
+        let has_failed = matches!(responses(&after)[..], [(3, ClientResponse::Failed(_))]);
+        assert!(runs_again == 1 || has_failed, "{after:?}");
+    }
+}
+
+/// A client may submit its request again on a new connection before the end of its first one is
+/// noticed. Whichever comes first, the request runs once and every connected client gets the
+/// response.
+#[test]
+fn a_repeated_request_joins_the_open_one() {
+    for settings in deployments() {
+        for class in [IDEMPOTENT, KEYED, NON_IDEMPOTENT] {
+            for disconnecting in [None, Some(1), Some(2)] {
+                let mut core = TestCore::new(settings.clone(), &["a", "b"].map(endpoint));
+                let remaining = settings.classes[class].deadline;
+                let attempt = started_attempts(&core.submit_as(class, 1, "t", remaining))[0];
+                let mut effects = core.submit_as(class, 2, "t", remaining);
+                if let Some(handle) = disconnecting {
+                    effects.extend(core.disconnect(handle));
+                }
+                assert!(
+                    started_attempts(&effects).is_empty() && responses(&effects).is_empty(),
+                    "{class} {disconnecting:?}: {effects:?}"
+                );
+                assert!(
+                    !effects.contains(&Effect::AbortAttempt { attempt }),
+                    "{effects:?}"
+                );
+                let given = responses(&core.end_attempt(attempt, served()));
+                let connected = [1, 2]
+                    .into_iter()
+                    .filter(|handle| Some(*handle) != disconnecting);
+                let expected: Vec<_> = connected
+                    .map(|handle| (handle, served_response()))
+                    .collect();
+                assert_eq!(given, expected, "{class} {disconnecting:?}");
+                // Once all its clients have disconnected it is cancelled, if that is allowed.
+                let attempt = started_attempts(&core.submit_as(class, 3, "u", remaining))[0];
+                core.submit_as(class, 4, "u", remaining);
+                let abort = Effect::AbortAttempt { attempt };
+                assert!(!core.disconnect(4).contains(&abort));
+                assert_eq!(core.disconnect(3).contains(&abort), settings.cancellation);
+            }
+        }
+    }
+}
+
+/// The request of one client is not taken for that of another.
+#[test]
+fn an_open_request_id_with_other_content_is_rejected() {
+    let settings = &deployments()[2];
+    let first = request(KEYED, "t", 9_000 * MS);
+    for other in [
+        ClientRequest {
+            class: ClassId(NON_IDEMPOTENT),
+            ..first.clone()
+        },
+        ClientRequest {
+            unique_id: Some(UniqueId("u".into())),
+            ..first.clone()
+        },
+        with_job(&first, |job| job.path = "/c1/l".into()),
+        with_job(&first, |job| job.idempotency_key = None),
+        with_job(&first, |job| job.body = "x".into()),
+    ] {
+        let mut core = TestCore::new(settings.clone(), &["a", "b"].map(endpoint));
+        let attempt = started_attempts(&core.submit_request(1, first.clone()))[0];
+        let effects = core.submit_request(2, other);
+        let rejected = ClientResponse::Rejected(Rejection::IdInUse);
+        assert_eq!(responses(&effects), [(2, rejected)]);
+        assert!(started_attempts(&effects).is_empty() && core.disconnect(2).is_empty());
+        assert_eq!(
+            responses(&core.end_attempt(attempt, served())),
+            [(1, served_response())]
+        );
+    }
+}
+
+/// The first connection of a client may be found closed before the client submits its request
+/// again: the request must not run twice.
+#[test]
+fn the_id_of_a_request_that_may_have_run_runs_again_only_if_its_class_allows() {
+    let outcomes = [
+        (None, true),
+        (Some(AttemptOutcome::Error), true),
+        (Some(served()), true),
+        (Some(AttemptOutcome::ConnectFailed), false),
+        (Some(AttemptOutcome::Rejected), false),
+        (Some(AttemptOutcome::InvalidJob), false),
+    ];
+    for (index, settings) in deployments().into_iter().enumerate() {
+        for class in [IDEMPOTENT, KEYED, NON_IDEMPOTENT] {
+            for (outcome, may_have_run) in outcomes.clone() {
+                let mut core = TestCore::new(settings.clone(), &[endpoint("a")]);
+                let remaining = settings.classes[class].deadline;
+                let attempt = started_attempts(&core.submit_as(class, 1, "t", remaining))[0];
+                let mut first = vec![];
+                if let Some(outcome) = outcome.clone() {
+                    first = core.end_attempt(attempt, outcome);
+                    // If it waits for another endpoint, its client disconnects.
+                    assert!(
+                        started_attempts(&first).is_empty(),
+                        "there is no other endpoint"
+                    );
+                    core.disconnect(1);
+                    core.list(&[endpoint("b")]);
+                } else {
+                    first.extend(core.disconnect(1));
+                }
+                // A request that was shed may be submitted again whatever its class is.
+                let was_shed = matches!(
+                    responses(&first)[..],
+                    [(1, ClientResponse::Overloaded { .. })]
+                );
+                let again = core.submit_as(class, 2, "t", remaining);
+                let started_count = started_attempts(&again).len();
+                let given = responses(&again);
+                let case = format!("deployment {index}, class {class}, {outcome:?}: {again:?}");
+                let is_in_flight = outcome.is_none() && !settings.cancellation;
+                match class {
+                    // The first attempt could not be cancelled: no second one is sent beside it.
+                    _ if is_in_flight => assert!(started_count == 0 && given.len() == 1, "{case}"),
+                    IDEMPOTENT => assert_eq!(started_count, 1, "{case}"),
+                    _ if was_shed || !may_have_run => assert_eq!(started_count, 1, "{case}"),
+                    _ => {
+                        assert_eq!(started_count, 0, "{case}");
+                        let has_failed = matches!(given[..], [(2, ClientResponse::Failed(_))]);
+                        assert!(has_failed, "{case}");
+                    }
+                }
+            }
+        }
+    }
+}
+
+/// Runs a non-idempotent request to its end.
+fn run_request(core: &mut TestCore, handle: u64) {
+    let attempt = started_attempts(&core.submit(NON_IDEMPOTENT, handle))[0];
+    core.end_attempt(attempt, served());
+    // Each request ends at a time of its own.
+    core.now += Duration::from_micros(1);
+}
+
+/// Whether a non-idempotent request runs under this request id.
+fn runs(core: &mut TestCore, id: &str) -> bool {
+    let effects = core.submit_as(NON_IDEMPOTENT, 1_000_000, id, 9_000 * MS);
+    core.disconnect(1_000_000);
+    !started_attempts(&effects).is_empty()
+}
+
+/// Memory does not grow with every request, and the ids that were consumed last are known.
+#[test]
+fn consumed_ids_are_remembered_for_their_lifetime_and_up_to_a_maximum() {
+    let settings = &deployments()[2];
+    let mut core = TestCore::new(settings.clone(), &[endpoint("a")]);
+    run_request(&mut core, 1);
+    core.advance(19_990 * MS);
+    assert!(!runs(&mut core, "t1"));
+    core.advance(20 * MS);
+    assert!(runs(&mut core, "t1"));
+    for handle in 2..=4_200 {
+        run_request(&mut core, handle);
+    }
+    assert!(!runs(&mut core, "t4200") && !runs(&mut core, "t200"));
+    assert!(runs(&mut core, "t2"), "the oldest is forgotten");
+}
+
+/// A non-idempotent request with a unique id.
+fn request_with_unique_id(handle: u64, unique_id: &str) -> ClientRequest {
+    let unique_id = Some(UniqueId(unique_id.into()));
+    ClientRequest {
+        unique_id,
+        ..request(NON_IDEMPOTENT, &format!("t{handle}"), 1_000 * MS)
+    }
+}
+
+/// No cached response is evicted early, and one that has expired makes room.
+#[test]
+fn with_a_full_idempotency_cache_new_unique_ids_are_shed_until_a_response_expires() {
+    for settings in deployments() {
+        let retention = Retention {
+            time: 1_000 * MS,
+            entries: 2,
+            running: 2,
+            bytes: 100,
+        };
+        let endpoints = ["a", "b", "c"].map(endpoint);
+        let mut core = TestCore::with_retention(settings.clone(), &endpoints, retention);
+        let submit = |core: &mut TestCore, handle, unique_id: &str| {
+            core.submit_request(handle, request_with_unique_id(handle, unique_id))
+        };
+        let mut running: Vec<AttemptId> = vec![];
+        for (handle, unique_id) in [(1, "u"), (2, "v")] {
+            running.extend(started_attempts(&submit(&mut core, handle, unique_id)));
+        }
+        assert_eq!(running.len(), 2);
+        let third = responses(&submit(&mut core, 3, "w"));
+        assert!(is_only_overload_response(&settings, &third, 3));
+        // A unique id that is known, running or cached, needs no room.
+        assert!(submit(&mut core, 4, "u").is_empty());
+        assert_eq!(
+            responded_handles(&core.end_attempt(running[0], served())),
+            [1, 4]
+        );
+        assert_eq!(
+            responses(&submit(&mut core, 5, "u")),
+            [(5, served_response())]
+        );
+        let sixth = responses(&submit(&mut core, 6, "w"));
+        assert!(
+            is_only_overload_response(&settings, &sixth, 6),
+            "its response is still cached"
+        );
+        core.now += 1_000 * MS;
+        let seventh = started_attempts(&submit(&mut core, 7, "w"));
+        assert_eq!(seventh.len(), 1, "the cached response has expired");
+    }
+}
--- /dev/null
+++ b/crates/core/tests/shutdown.rs
@@ -0,0 +1,149 @@
+//! The shutdown: its schedule, and the responses that are owed before the exit.
+
+mod common;
+
+use common::deployments::{IDEMPOTENT, NON_IDEMPOTENT, deployments};
+use common::{
+    MS, ONLY_CLASS, TestCore, class, endpoint, responded_handles, responses, served, settings,
+    single_class, started_attempts,
+};
+use pumiceway_core::*;
+use pumiceway_decisions::api::{Idempotency, Settings};
+
+/// The deadline of a request that arrives late is shortened, and that of an earlier one is not.
+#[test]
+fn a_late_request_has_its_response_before_the_end_is_forced() {
+    let endpoints = ["a", "b"].map(endpoint);
+    let mut core = TestCore::new(single_class(Idempotency::NonIdempotent), &endpoints);
+    core.reduce(Event::ShutdownRequested);
+    assert_eq!(
+        started_attempts(&core.submit_for(ONLY_CLASS, 1, 5_000 * MS)).len(),
+        1
+    );
+    assert!(responses(&core.advance(1_500 * MS)).is_empty());
+    assert_eq!(
+        started_attempts(&core.submit_for(ONLY_CLASS, 2, 5_000 * MS)).len(),
+        1
+    );
+    let late = core.advance(1_900 * MS);
+    let failed = ClientResponse::Failed(Failure::DeadlineExceeded);
+    assert_eq!(responses(&late), [(2, failed)]);
+    assert_eq!(Failure::DeadlineExceeded.to_string(), "not done in time");
+    assert_eq!(responses(&core.advance(1_700 * MS)).len(), 1);
+}
+
+/// The shorter the deadlines, the sooner the end is forced: with a longest deadline of one second,
+/// before the two seconds are over for which the frontends otherwise stay open.
+#[test]
+fn with_short_deadlines_the_frontends_close_before_the_end_is_forced() {
+    for (deadline_ms, closes_after_ms, responds_by_ms) in [
+        (1_000, 600, 1_400),
+        (2_000, 1_000, 2_400),
+        (15_000, 2_000, 3_400),
+    ] {
+        let mut class = class(Idempotency::NonIdempotent);
+        class.deadline = deadline_ms * MS;
+        let settings = Settings {
+            health_checks: false,
+            classes: vec![class],
+            ..settings(Idempotency::NonIdempotent)
+        };
+        let mut core = TestCore::new(settings, &[endpoint("a")]);
+        core.reduce(Event::ShutdownRequested);
+        let before = core.advance((closes_after_ms - 20) * MS);
+        assert!(!before.contains(&Effect::CloseFrontends), "{deadline_ms}");
+        let closing = core.advance(40 * MS);
+        assert!(closing.contains(&Effect::CloseFrontends), "{deadline_ms}");
+        // A request that arrives as the frontends close, and that has no result in time.
+        let mut effects = core.submit_for(ONLY_CLASS, 1, deadline_ms * MS);
+        effects.extend(core.advance((responds_by_ms - closes_after_ms - 20) * MS));
+        assert_eq!(responses(&effects).len(), 1, "{deadline_ms}: {effects:?}");
+    }
+}
+
+/// The frontends stay open at first, for clients that have not heard of the shutdown.
+#[test]
+fn the_exit_waits_for_the_frontends_and_for_open_requests() {
+    let mut core = TestCore::new(single_class(Idempotency::Idempotent), &[endpoint("a")]);
+    core.reduce(Event::ShutdownRequested);
+    let attempt = started_attempts(&core.submit_for(ONLY_CLASS, 1, 4_000 * MS))[0];
+    let draining = core.advance(1_900 * MS);
+    assert!(!draining.contains(&Effect::CloseFrontends));
+    let closing = core.advance(200 * MS);
+    assert!(closing.contains(&Effect::CloseFrontends));
+    let closed = core.reduce(Event::FrontendsClosed);
+    assert!(!closed.contains(&Effect::Exit));
+    let ended = core.end_attempt(attempt, served());
+    assert!(ended.contains(&Effect::Exit), "{ended:?}");
+}
+
+/// Whether the frontends close before or after `CloseFrontends`, and whatever comes in between.
+#[test]
+fn the_exit_comes_once_and_after_all_responses() {
+    for (index, settings) in deployments().into_iter().enumerate() {
+        let longest_deadline = settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap();
+        let forced_end = longest_deadline.min(3_000 * MS) + 700 * MS;
+        for closes_early in [true, false] {
+            for repeated_signals in [0, 1, 3] {
+                let mut core = TestCore::new(settings.clone(), &["a", "b", "c"].map(endpoint));
+                let mut effects = core.submit(NON_IDEMPOTENT, 1);
+                if closes_early {
+                    effects.extend(core.reduce(Event::FrontendsClosed));
+                }
+                effects.extend(core.reduce(Event::ShutdownRequested));
+                let signal_at = core.now;
+                effects.extend(core.advance(300 * MS));
+                effects.extend(core.submit(NON_IDEMPOTENT, 2));
+                for number in 0..repeated_signals {
+                    effects.extend(core.reduce(Event::ShutdownRequested));
+                    effects.extend(core.reduce(Event::Configured {
+                        discovery: Some(format!("d{number}")),
+                        list_version: None,
+                        restart_required: vec![],
+                    }));
+                }
+                while !effects.contains(&Effect::CloseFrontends) {
+                    let is_forced = core.now >= signal_at + forced_end;
+                    assert!(!is_forced, "deployment {index}: the frontends stay open");
+                    effects.extend(core.advance(5 * MS));
+                }
+                effects.extend(core.submit(IDEMPOTENT, 3));
+                if !closes_early {
+                    effects.extend(core.reduce(Event::FrontendsClosed));
+                }
+                let started = started_attempts(&effects);
+                assert_eq!(started.len(), 3, "deployment {index}");
+                // A request on a connection that is still open has its response before the end is
+                // forced.
+                for attempt in &started[..2] {
+                    let is_over = effects.contains(&Effect::Exit);
+                    assert!(!is_over, "deployment {index}: a response is owed");
+                    effects.extend(core.end_attempt(*attempt, served()));
+                }
+                let is_over = effects.contains(&Effect::Exit);
+                assert!(!is_over, "deployment {index}: a response is owed");
+                let until_end = (signal_at + forced_end).saturating_duration_since(core.now);
+                effects.extend(core.advance(until_end));
+                let mut responded = responded_handles(&effects);
+                responded.sort_unstable();
+                assert_eq!(responded, [1, 2, 3], "deployment {index}");
+                let is_over = effects.contains(&Effect::Exit);
+                assert!(is_over, "deployment {index}, early {closes_early}: no exit");
+                effects.extend(core.reduce(Event::FrontendsClosed));
+                effects.extend(core.reduce(Event::ShutdownRequested));
+                effects.extend(core.advance(5_000 * MS));
+                let case = format!(
+                    "deployment {index}, early {closes_early}, repeated signals {repeated_signals}"
+                );
+                let count = |kind: &Effect| effects.iter().filter(|effect| *effect == kind).count();
+                assert_eq!(count(&Effect::Exit), 1, "{case}");
+                assert_eq!(count(&Effect::CloseFrontends), 1, "{case}");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/api/ids.rs
@@ -0,0 +1,36 @@
+//! Handles and indices.
+
+/// Handle of a request, chosen by the host; never used twice for one [`Balancer`](crate::Balancer).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+/// Handle of an endpoint, chosen by the host: small, dense from 0, and the same for as long as the
+/// endpoint keeps its name.
+///
+/// Once an endpoint is gone, no health check of it is in flight and no open request was sent to it,
+/// the host may give its handle to another name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndpointId(pub u32);
+
+impl EndpointId {
+    /// The handle as an index into a table with a row for each endpoint.
+    pub const fn index(self) -> usize {
+        self.0 as usize
+    }
+}
+
+/// Index into [`Settings::classes`](super::Settings::classes).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassId(pub usize);
+
+/// Index of a zone, below [`Settings::zone_count`](super::Settings::zone_count).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ZoneId(pub usize);
+
+/// Index of a machine kind, below [`Settings::kind_count`](super::Settings::kind_count).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct KindId(pub usize);
+
+/// Index into [`Settings::tenants`](super::Settings::tenants).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TenantId(pub usize);
--- /dev/null
+++ b/crates/decisions/src/policy/admission.rs
@@ -0,0 +1,144 @@
+//! Which requests are queued here, in which order, and which are shed.
+//!
+//! A request that no endpoint would start now is queued, the highest priority weight for a slot's
+//! time first, and shed at the latest start that probably still meets its objective. Where the
+//! queue has a bound, the least valuable request is shed for one more.
+
+use super::Balancer;
+use super::selection::Selection;
+use crate::api::{Action, ClassId, RequestId, Timestamp};
+use crate::state::Request;
+use crate::time::{divide, from_micros_f64, micros_f64};
+
+/// Ticks between the latest start of a request and its deadline.
+const TICKS_BEFORE_DEADLINE: u32 = 2;
+/// Half of the stretch beyond this is slack for time in queue: longer waits would raise the learnt
+/// running time, and with it the waits that are allowed.
+const STRETCH_FOR_RUN: f64 = 1.2;
+const SLACK_SHARE: f64 = 0.5;
+
+/// A request that no endpoint would start: neither would a later one of its class that takes as
+/// much.
+struct Unplaceable {
+    class: ClassId,
+    slots: f64,
+    memory: f64,
+    started_at: Timestamp,
+}
+
+impl Unplaceable {
+    fn of(request: &Request) -> Unplaceable {
+        let Request {
+            class,
+            slots,
+            memory,
+            started_at,
+            ..
+        } = *request;
+        Unplaceable {
+            class,
+            slots,
+            memory,
+            started_at,
+        }
+    }
+
+    fn covers(&self, request: &Request) -> bool {
+        self.class == request.class
+            && self.slots <= request.slots
+            && self.memory <= request.memory
+            && self.started_at <= request.started_at
+    }
+}
+
+impl Balancer {
+    /// Queues a request that has arrived and could not be sent.
+    pub(super) fn enqueue(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        self.state.queue.push(id);
+        self.serve_queue(now, actions);
+        let max_queued = self.settings.max_queued;
+        while max_queued > 0 && self.state.queue.len() > max_queued {
+            if let Some(least_valuable) = self.state.queue.pop() {
+                self.give_up(now, least_valuable, actions);
+            }
+        }
+    }
+
+    /// Sends queued requests, the most valuable first, and gives up those that are too late.
+    pub(super) fn serve_queue(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.state.queue.is_empty() {
+            return;
+        }
+        // Bounds the work for each event, which would grow with queued requests times endpoints.
+        let mut unplaceable: Vec<Unplaceable> = Vec::new();
+        for id in self.take_queue_by_value() {
+            let request = &self.state.requests[&id];
+            let is_first_attempt = request.attempts.is_empty();
+            if !(is_first_attempt && unplaceable.iter().any(|other| other.covers(request))) {
+                match self.try_send(now, id, true, actions) {
+                    Selection::Send(_) => continue,
+                    Selection::NoCapacity if is_first_attempt => {
+                        unplaceable.push(Unplaceable::of(&self.state.requests[&id]));
+                    }
+                    Selection::NoCapacity | Selection::CheckFirst(_) | Selection::Wait => {}
+                }
+            }
+            if now >= self.latest_start(&self.state.requests[&id]) {
+                self.give_up(now, id, actions);
+            } else {
+                self.state.queue.push(id);
+            }
+        }
+    }
+
+    /// Empties the queue. Requests of the same value stay in the order of their arrival.
+    fn take_queue_by_value(&mut self) -> Vec<RequestId> {
+        let mut queue = std::mem::take(&mut self.state.queue);
+        queue.retain(|id| {
+            self.state
+                .requests
+                .get(id)
+                .is_some_and(|request| !request.is_done)
+        });
+        let value = |id: &RequestId| self.value(&self.state.requests[id]);
+        queue.sort_by(|a, b| value(b).total_cmp(&value(a)));
+        queue
+    }
+
+    /// The latest start that probably still meets the objective.
+    pub(super) fn latest_start(&self, request: &Request) -> Timestamp {
+        let class = &self.settings.classes[request.class.0];
+        let expected_run_us = self.expected_run_us(request);
+        let latest = request
+            .deadline
+            .saturating_sub(TICKS_BEFORE_DEADLINE * self.tick_interval());
+        if let Some(max_queue_time) = class.max_queue_time {
+            // A running time that is only guessed, or far too long, would shed what has most of its
+            // time left.
+            let is_learnt = self.state.classes[request.class.0].served > 0;
+            let run = from_micros_f64(if is_learnt { expected_run_us } else { 0.0 });
+            let run = run.min(divide(class.deadline, 2));
+            return (request.started_at + max_queue_time).min(latest.saturating_sub(run));
+        }
+        let stretch = (class.objective_stretch - STRETCH_FOR_RUN).max(0.0);
+        let slack_us =
+            (SLACK_SHARE * stretch * expected_run_us).min(micros_f64(class.latency_objective));
+        (request.started_at + class.latency_objective + from_micros_f64(slack_us)).min(latest)
+    }
+
+    /// Priority weight for a slot's time: for its hinted work, where the weight is one for a unit
+    /// of work, or for the running time of its class.
+    fn value(&self, request: &Request) -> f64 {
+        let run = request
+            .work_hint
+            .map_or(self.state.classes[request.class.0].run_us, |_| 1.0);
+        request.priority_weight / (request.slots * run)
+    }
+
+    /// The expected running time of a request, in microseconds.
+    pub(super) fn expected_run_us(&self, request: &Request) -> f64 {
+        request
+            .work_hint
+            .map_or(self.state.classes[request.class.0].run_us, micros_f64)
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -0,0 +1,62 @@
+//! Which endpoints may be sent a request at all, however much capacity they have.
+//!
+//! Inputs: the state of the endpoint, what the rules permit for the request, and what is believed
+//! of the endpoint's health. An endpoint on probation, or one that answers with errors, gets one
+//! request at a time, and only idempotent ones while any arrive: what it does to that request may
+//! be repeated elsewhere.
+
+use super::Balancer;
+use crate::api::{EndpointId, EndpointState, Idempotency, Timestamp};
+use crate::rules::{self, Execution, Permission};
+use crate::state::{Attempt, Endpoint, Request};
+use std::time::Duration;
+
+/// An endpoint on probation is left to idempotent requests, unless none has arrived for this long.
+const PROBATION_FOR_IDEMPOTENT: Duration = Duration::from_secs(10);
+
+impl Balancer {
+    /// What the rules permit for a request.
+    pub(super) fn permission(&self, now: Timestamp, request: &Request) -> Permission {
+        rules::permission(
+            now,
+            &self.settings,
+            request.class,
+            request.attempts.iter().map(Attempt::record),
+        )
+    }
+
+    /// Whether an endpoint may be sent this request.
+    pub(super) fn is_eligible(
+        &self,
+        now: Timestamp,
+        id: EndpointId,
+        request: &Request,
+        permission: &Permission,
+    ) -> bool {
+        let endpoint = self.state.endpoint(id);
+        endpoint.state == EndpointState::Ready
+            && endpoint.ejected_until.is_none()
+            && now >= endpoint.rejects_until
+            && permission.send_to(endpoint.zone, endpoint.cell).is_ok()
+            && self.allows_on_probation(now, endpoint, request)
+            && !was_sent_to(request, id)
+            && self.has_slow_start_share(now, endpoint, request)
+    }
+
+    fn allows_on_probation(&self, now: Timestamp, endpoint: &Endpoint, request: &Request) -> bool {
+        if !endpoint.on_probation && !self.is_failing(endpoint) {
+            return true;
+        }
+        let is_idempotent =
+            self.settings.classes[request.class.0].idempotency == Idempotency::Idempotent;
+        let idempotent_arrive = now < self.state.last_idempotent_at + PROBATION_FOR_IDEMPOTENT;
+        endpoint.own_attempts == 0 && (is_idempotent || !idempotent_arrive)
+    }
+}
+
+/// Whether an attempt of the request may have run at this endpoint, or may yet.
+fn was_sent_to(request: &Request, id: EndpointId) -> bool {
+    let sent =
+        |attempt: &Attempt| attempt.endpoint == id && attempt.execution != Execution::NeverRan;
+    request.attempts.iter().any(sent)
+}
--- /dev/null
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -0,0 +1,191 @@
+//! When an endpoint is checked.
+//!
+//! - Before a request is sent on old news (see the module `selection`): each request pays for a few
+//!   checks, which may be saved up.
+//! - When a connection to it failed, and when its ejection ends.
+//! - When it is silent for several mean running times with an attempt of ours in flight.
+//! - In turn, so that something is known of the endpoints that are not at the head of the order.
+//!   With three endpoints to a dispatcher or more each gets one check for each round of requests;
+//!   with fewer, proportionally fewer checks, down to none where dispatchers outnumber endpoints:
+//!   there all would send to the few that old news shows empty.
+
+use super::Balancer;
+use crate::api::{Action, EndpointId, HealthCheckResult, Outcome, RequestId, Timestamp};
+use crate::time::{divide, from_micros_f64, micros_f64};
+use std::time::Duration;
+
+/// Health checks that each request pays for, and how many may be saved up.
+pub(super) const CHECKS_PER_REQUEST: f64 = 2.0;
+pub(super) const MAX_CREDIT: f64 = 8.0;
+/// Silence, in mean running times, after which an endpoint with an attempt of ours in flight is
+/// checked.
+const MAX_SILENCE_RUNS: f64 = 3.0;
+/// Endpoints that one tick considers for a refresh.
+const REFRESHES_PER_TICK: usize = 16;
+/// The shortest time between two refreshes of one endpoint.
+const MIN_REFRESH_INTERVAL_US: f64 = 500_000.0;
+/// The share of endpoints that are refreshed grows by this with the endpoints that a dispatcher has
+/// to itself.
+const REFRESH_SHARE_SLOPE: f64 = 1.5;
+/// Step of the mean time that a health check takes.
+const DURATION_STEP: f64 = 0.1;
+
+impl Balancer {
+    pub(super) fn check_health(
+        &mut self,
+        now: Timestamp,
+        id: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
+        let endpoint = self.state.endpoint_mut(id);
+        endpoint.health_check_in_flight = true;
+        endpoint.health_checked_at = now;
+        actions.push(Action::CheckHealth { endpoint: id });
+    }
+
+    /// Checks the endpoint that a request is about to be sent to.
+    pub(super) fn check_for_request(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        endpoint: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
+        self.state.health_check_credit -= 1.0;
+        if let Some(request) = self.state.requests.get_mut(&id) {
+            request.health_checks += 1;
+        }
+        self.check_health(now, endpoint, actions);
+    }
+
+    /// A health check has ended.
+    pub(super) fn on_health_checked(
+        &mut self,
+        now: Timestamp,
+        result: HealthCheckResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let HealthCheckResult {
+            endpoint: id,
+            outcome,
+            latency,
+            report,
+        } = result;
+        self.state.endpoint_mut(id).health_check_in_flight = false;
+        match outcome {
+            Outcome::Success => {
+                self.note_recovery(now, id);
+                self.state.health_check_us +=
+                    DURATION_STEP * (micros_f64(latency) - self.state.health_check_us);
+                if let Some(report) = report {
+                    self.on_report(now, id, report);
+                }
+            }
+            // It runs, and only answers no more health checks at once.
+            Outcome::Rejected => self.state.endpoint_mut(id).last_heard_at = now,
+            Outcome::NotSent => {}
+            Outcome::Error
+            | Outcome::Timeout
+            | Outcome::ConnectFailed
+            | Outcome::Reset
+            | Outcome::Cancelled => self.note_failed_check(now, id),
+        }
+        self.serve_queue(now, actions);
+    }
+
+    /// An endpoint that failed and is back before the list tells may have restarted, and is taken
+    /// for one in slow start; so is one that only could not be reached.
+    fn note_recovery(&mut self, now: Timestamp, id: EndpointId) {
+        let endpoint = self.state.endpoint_mut(id);
+        endpoint.last_heard_at = now;
+        let was_ejected = endpoint.ejected_until.take().is_some();
+        if was_ejected && endpoint.ejections > 0 {
+            endpoint.on_probation = true;
+            endpoint.started_at = endpoint.started_at.max(endpoint.last_failure_at);
+        }
+    }
+
+    /// A check sent before a stall proves nothing, unless the endpoint was suspected already.
+    fn note_failed_check(&mut self, now: Timestamp, id: EndpointId) {
+        let resumed_at = self.state.resumed_at;
+        let endpoint = self.state.endpoint_mut(id);
+        if endpoint.ejected_until.is_some() || endpoint.health_checked_at >= resumed_at {
+            endpoint.last_failure_at = now;
+            self.eject(now, id);
+        }
+    }
+
+    /// Checks monitored endpoints that are silent, or whose ejection has ended.
+    pub(super) fn check_monitored(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let silence = from_micros_f64(MAX_SILENCE_RUNS * self.state.mean_run_us);
+        let mut monitored = std::mem::take(&mut self.state.monitored);
+        monitored.retain(|&id| {
+            let is_due = self.is_check_due(now, id, silence);
+            let endpoint = self.state.endpoint_mut(id);
+            let has_attempts = endpoint.own_attempts > 0;
+            endpoint.is_monitored =
+                endpoint.is_listed && (has_attempts || endpoint.ejected_until.is_some());
+            let stays = endpoint.is_monitored;
+            if stays && is_due && !endpoint.health_check_in_flight {
+                self.recheck(now, id, actions);
+            }
+            stays
+        });
+        self.state.monitored = monitored;
+    }
+
+    fn is_check_due(&self, now: Timestamp, id: EndpointId, silence: Duration) -> bool {
+        let endpoint = self.state.endpoint(id);
+        if let Some(ejected_until) = endpoint.ejected_until {
+            return now >= ejected_until;
+        }
+        let is_silent = endpoint.last_heard_at.max(self.state.resumed_at) + silence <= now;
+        let not_checked_lately = endpoint.health_checked_at + divide(silence, 2) <= now;
+        endpoint.own_attempts > 0 && is_silent && not_checked_lately
+    }
+
+    /// Where health checks are not allowed, an ejection that has ended leads to probation at once.
+    fn recheck(&mut self, now: Timestamp, id: EndpointId, actions: &mut Vec<Action>) {
+        if self.settings.health_checks {
+            return self.check_health(now, id, actions);
+        }
+        let endpoint = self.state.endpoint_mut(id);
+        endpoint.on_probation |= endpoint.ejected_until.take().is_some();
+    }
+
+    /// Checks endpoints in turn, in the order of the first class.
+    pub(super) fn refresh_reports(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let count = self.preferences.first().map_or(0, |order| order.len());
+        if !self.can_poll_load() || count == 0 {
+            return;
+        }
+        let gap_us = self.state.request_gap_us;
+        let interval = from_micros_f64((gap_us * count as f64).max(MIN_REFRESH_INTERVAL_US));
+        self.earn_refresh_credit(now, count);
+        for _ in 0..count.min(REFRESHES_PER_TICK) {
+            self.state.refresh_cursor = (self.state.refresh_cursor + 1) % count;
+            let id = self.preferences[0].candidates()[self.state.refresh_cursor].endpoint;
+            let endpoint = self.state.endpoint(id);
+            let is_due = endpoint.reported_at + interval <= now
+                && endpoint.health_checked_at + interval <= now;
+            let may_check = !endpoint.health_check_in_flight && endpoint.ejected_until.is_none();
+            if is_due && may_check && self.state.refresh_credit >= 1.0 {
+                self.state.refresh_credit -= 1.0;
+                self.check_health(now, id, actions);
+            }
+        }
+    }
+
+    fn earn_refresh_credit(&mut self, now: Timestamp, count: usize) {
+        let endpoints_to_itself = 1.0 - self.settings.instance_count as f64 / count as f64;
+        let share = (REFRESH_SHARE_SLOPE * endpoints_to_itself).clamp(0.0, 1.0);
+        let max_credit = share * count as f64;
+        let earned = match self.state.refresh_credited_at.replace(now) {
+            Some(since) if share < 1.0 => {
+                now.micros_since(since) as f64 / self.state.request_gap_us.max(1.0) * share
+            }
+            _ => max_credit,
+        };
+        self.state.refresh_credit = (self.state.refresh_credit + earned).min(max_credit);
+    }
+}
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -1,113 +1,232 @@
-//! All decisions of pumiceway. The interface (settings, events, actions) stands in `api.rs`; the records kept
-//! of workers and requests, plain data, in `state.rs`.
+//! All decisions: which endpoint gets a request, when it is queued or shed, and what becomes of it
+//! when endpoints fail.
 //!
-//! Reading order: script, validity, cold, placement, life, belief, probes.
-//! The mechanism is that of Allocation Priority Policies; each departure is named so where it stands.
+//! One module answers one question:
+//!
+//! | module | question |
+//! | --- | --- |
+//! | [`selection`] | Which endpoint gets a request? |
+//! | [`preference`] | In which order are endpoints considered? |
+//! | [`eligibility`] | Which endpoints may be sent a request at all? |
+//! | [`capacity`] | What load is an endpoint believed to have, and when would it start a request? |
+//! | [`slow_start`] | How much may an endpoint be sent that has just started? |
+//! | [`admission`] | Which requests are queued, in which order, and which are shed? |
+//! | [`quota`] | What is a request worth whose tenant exceeds its quota? |
+//! | [`requests`] | What happens at the arrival and at the end of a request? |
+//! | [`retry`] | When is a request sent again, and when is it given up? |
+//! | [`hedging`] | When does a request get a second attempt beside its first, and which one is cancelled? |
+//! | [`overdue`] | When is an attempt without a word presumed lost? |
+//! | [`outlier`] | When is an endpoint ejected, on probation or avoided, and when is a zone lost? |
+//! | [`health_checks`] | When is an endpoint checked? |
+//! | [`load_reports`] | What does a load report tell about an endpoint? |
+//! | [`start_signals`] | What does the time until a request starts tell about an endpoint? |
+//!
+//! The records that these keep are plain data, in the module `state`. The order of endpoints
+//! follows the published Allocation Priority Policies; each module says where it departs from them.
+
+mod admission;
+mod capacity;
+mod eligibility;
+mod health_checks;
+mod hedging;
+mod load_reports;
+mod outlier;
+mod overdue;
+mod preference;
+mod quota;
+mod requests;
+mod retry;
+mod selection;
+mod slow_start;
+mod start_signals;
 
-mod belief;
-mod cold;
-mod life;
-mod placement;
-mod probes;
-mod script;
-mod validity;
+use crate::api::{
+    Action, EndpointEntry, Event, ListKind, LoadReportSource, Settings, SettingsError, Timestamp,
+};
+use crate::state::BalancerState;
+use crate::time::{divide, from_micros_f64, whole_micros};
+use preference::PreferenceOrder;
+use std::ops::RangeInclusive;
+use std::time::Duration;
 
-use crate::api::*;
-use crate::state::*;
+/// The tick is a quarter of the tightest latency objective, within these bounds.
+const TICKS_PER_OBJECTIVE: u64 = 4;
+const MIN_TICK: Duration = Duration::from_millis(20);
+const MAX_TICK: Duration = Duration::from_millis(100);
+/// Ticks between two timers while no request is open.
+const IDLE_TICKS: u32 = 4;
+/// The first subscription is spread over this fraction of the poll interval, and a failed one is
+/// repeated after this fraction, doubled with each further failure up to this many times.
+const FIRST_SUBSCRIPTION_FRACTION: u64 = 4;
+const RESUBSCRIPTION_FRACTION: u64 = 8;
+const MAX_RESUBSCRIPTION_DOUBLINGS: u32 = 2;
 
-/// Decides for one dispatcher. Every instance is on its own: it knows what its events have told it.
+/// Decides for one dispatcher. Dispatchers share nothing: each knows what its own events have told
+/// it.
 pub struct Balancer {
-    s: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
-    m: Memory,
-    /// The script: a tag for each class.
-    tags: Vec<Tag>,
+    state: BalancerState,
+    /// For each class.
+    preferences: Vec<PreferenceOrder>,
 }
 
 impl Balancer {
-    /// A balancer that knows no worker yet; `seed` drives its few random choices.
+    /// A balancer that knows no endpoint yet; `seed` drives its few random choices.
+    ///
+    /// # Errors
+    ///
+    /// Settings that cannot work; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
-        let (rng, m) = (fastrand::Rng::with_seed(seed), Memory::new(&settings, probes::SAVED));
-        let tags = settings.classes.iter().map(|_| Tag::default()).collect();
-        Ok(Balancer { s: settings, rng, m, tags })
+        let state = BalancerState::new(&settings, health_checks::MAX_CREDIT);
+        let preferences = settings
+            .classes
+            .iter()
+            .map(|_| PreferenceOrder::default())
+            .collect();
+        Ok(Balancer {
+            settings,
+            rng: fastrand::Rng::with_seed(seed),
+            state,
+            preferences,
+        })
     }
 
-    /// Takes one event and appends what is to be done, in this order. Handles of workers must have been on
-    /// a list and indices must be in range; events for requests that have ended are ignored.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        // Prevents: after a stall the clock has jumped, and answers in the backlog look lost.
-        if self.m.armed.is_some_and(|at| now > at + self.tick_length()) {
-            self.m.awake = now;
-        }
+    /// Takes one event and appends what is to be done, in this order.
+    ///
+    /// Handles of endpoints must have been on a list and indices must be in range; events for
+    /// requests that are over are ignored.
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        self.detect_stall(now);
         match event {
-            Event::List { kind, entries } => self.on_list(now, kind, entries),
-            Event::Request(e) => self.on_request(now, e, out),
-            Event::Outcome(e) => self.on_outcome(now, e, out),
-            Event::Note(e) => self.on_note(now, e, out),
-            Event::Gone { request } => self.close(request, out),
-            Event::Expired { request } => self.give_up(now, request, out),
-            Event::Probed(e) => self.on_probed(now, e, out),
-            Event::Wake => {
-                self.m.armed = None;
-                self.tick(now, out);
+            Event::EndpointList { kind, entries } => self.on_list(now, kind, entries),
+            Event::RequestArrived(request) => self.on_request(now, request, actions),
+            Event::AttemptFinished(result) => self.on_attempt_finished(now, result, actions),
+            Event::AttemptProgressed(progress) => self.on_progress(now, progress, actions),
+            Event::ClientDisconnected { request } => self.finish(request, actions),
+            Event::DeadlineReached { request } => self.give_up(now, request, actions),
+            Event::HealthChecked(result) => self.on_health_checked(now, result, actions),
+            Event::TimerFired => {
+                self.state.timer_at = None;
+                self.tick(now, actions);
             }
         }
-        let pause = match self.m.requests.is_empty() {
-            true => 4 * self.tick_length(),
-            false if self.m.waiting_start => self.prompt().min(self.tick_length()),
-            false => self.tick_length(),
+        self.set_timer(now, actions);
+    }
+
+    /// After a stall the clock has jumped, and responses that wait to be read look lost.
+    fn detect_stall(&mut self, now: Timestamp) {
+        if self
+            .state
+            .timer_at
+            .is_some_and(|at| now > at + self.tick_interval())
+        {
+            self.state.resumed_at = now;
+        }
+    }
+
+    fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let tick = self.tick_interval();
+        let after = if self.state.requests.is_empty() {
+            IDLE_TICKS * tick
+        } else if self.state.awaits_start {
+            self.prompt_response_time().min(tick)
+        } else {
+            tick
         };
-        if self.m.armed.is_none_or(|at| at > now + pause) {
-            self.m.armed = Some(now + pause);
-            out.push(Action::Wake { after: pause });
+        let at = now + after;
+        if self.state.timer_at.is_none_or(|earlier| earlier > at) {
+            self.state.timer_at = Some(at);
+            actions.push(Action::SetTimer { after });
         }
     }
 
-    fn on_list(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
+    fn tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.state.subscribe_at.is_some_and(|at| now >= at) {
+            self.state.subscribe_at = None;
+            actions.push(Action::Subscribe);
+        }
+        self.check_monitored(now, actions);
+        self.refresh_reports(now, actions);
+        self.note_late_starts(now);
+        self.release_overdue(now);
+        self.hedge(now, actions);
+        self.serve_queue(now, actions);
+    }
+
+    fn on_list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry]) {
+        self.schedule_subscription(now, kind);
+        if self.state.last_idempotent_at == Timestamp::ORIGIN {
+            self.state.last_idempotent_at = now;
+        }
+        self.state.apply_list(now, kind, entries);
+        self.rebuild_preferences();
+    }
+
+    fn schedule_subscription(&mut self, now: Timestamp, kind: ListKind) {
+        let interval = self.settings.max_poll_interval;
         match kind {
-            ListKind::Bootstrap if self.s.list_by_asking => {
-                self.m.ask_at = Some(now + self.rng.u64(0..=self.s.ask_within / 4));
+            ListKind::Bootstrap if self.settings.polls_discovery => {
+                let latest = whole_micros(divide(interval, FIRST_SUBSCRIPTION_FRACTION));
+                self.state.subscribe_at = Some(now + self.random_duration(0..=latest));
             }
-            ListKind::Lost => {
-                let wait = (self.s.ask_within / 8) << self.m.ask_failures.min(2);
-                self.m.ask_failures += 1;
-                self.m.ask_at = Some(now + wait / 2 + self.rng.u64(0..=wait));
+            ListKind::SourceLost => {
+                let doublings = self
+                    .state
+                    .subscribe_failures
+                    .min(MAX_RESUBSCRIPTION_DOUBLINGS);
+                let backoff = whole_micros(divide(interval, RESUBSCRIPTION_FRACTION)) << doublings;
+                self.state.subscribe_failures += 1;
+                let jitter = self.random_duration(0..=backoff);
+                self.state.subscribe_at = Some(now + Duration::from_micros(backoff / 2) + jitter);
+            }
+            ListKind::Delta | ListKind::Snapshot | ListKind::Bootstrap => {
+                self.state.subscribe_failures = 0
             }
-            _ => self.m.ask_failures = 0,
-        }
-        if self.m.last_safe == 0 {
-            self.m.last_safe = now;
         }
-        self.m.merge(now, kind, entries);
-        self.rebuild_script();
     }
 
-    /// Time in which an idle worker answers a probe or tells of a start.
-    fn prompt(&self) -> Micros {
-        2 * self.s.resolution + (2.0 * self.m.probe_time) as Micros
+    /// A random span within these bounds, in microseconds.
+    fn random_duration(&mut self, micros: RangeInclusive<u64>) -> Duration {
+        Duration::from_micros(self.rng.u64(micros))
+    }
+
+    /// The time in which an idle endpoint answers a health check or reports the start of a request.
+    fn prompt_response_time(&self) -> Duration {
+        2 * self.settings.timer_resolution + from_micros_f64(2.0 * self.state.health_check_us)
     }
 
-    fn tick_length(&self) -> Micros {
-        let aim = self.s.classes.iter().map(|c| c.aim).min().unwrap_or(0);
-        (aim / 4).clamp(20_000, 100_000)
+    fn tick_interval(&self) -> Duration {
+        let objectives = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.latency_objective);
+        let tightest = objectives.min().unwrap_or_default();
+        divide(tightest, TICKS_PER_OBJECTIVE).clamp(MIN_TICK, MAX_TICK)
     }
 
-    fn asks(&self) -> bool {
-        self.s.probes && self.s.report_via != ReportVia::None
+    /// Load reports can be had at any time, by a health check.
+    fn can_poll_load(&self) -> bool {
+        self.settings.health_checks && self.settings.load_reports != LoadReportSource::None
     }
 
-    /// Instances outnumber workers: none sees much of any worker, and what reports show others see as well.
-    fn thin(&self) -> bool {
-        self.asks() && self.many()
+    /// Dispatchers outnumber the endpoints of every class: none sees much of any endpoint.
+    fn is_large_fleet(&self) -> bool {
+        self.preferences
+            .iter()
+            .all(|order| order.len() < self.settings.instance_count)
     }
 
-    /// The same where nobody may be asked.
-    fn unasked(&self) -> bool {
-        !self.asks() && self.many()
+    /// A large fleet in which load can be polled: what a load report shows, other dispatchers see
+    /// as well.
+    fn is_large_polled_fleet(&self) -> bool {
+        self.can_poll_load() && self.is_large_fleet()
     }
 
-    fn many(&self) -> bool {
-        self.tags.iter().all(|t| t.script.len() < self.s.instances)
+    /// A large fleet in which load cannot be polled.
+    fn is_large_unpolled_fleet(&self) -> bool {
+        !self.can_poll_load() && self.is_large_fleet()
     }
 }
--- /dev/null
+++ b/crates/decisions/src/policy/outlier.rs
@@ -0,0 +1,108 @@
+//! When an endpoint is ejected, on probation or avoided, and when a zone is lost.
+//!
+//! - An endpoint whose connection failed is suspected: it gets nothing until a health check has
+//!   told. One whose health check failed is ejected for a back-off that doubles with each ejection
+//!   in a row.
+//! - A health check that succeeds brings it back, on probation: one request at a time until it
+//!   responds.
+//! - An endpoint that completes far less than the mean one for the same utilization is slow, and
+//!   one that answers with errors far more often than the others is failing; both are avoided, not
+//!   ejected.
+//! - A zone is lost when several of its endpoints are ejected and none has been heard of since.
+
+use super::Balancer;
+use crate::api::{Action, EndpointId, Timestamp, ZoneId};
+use crate::state::Endpoint;
+use std::time::Duration;
+
+/// The first and the longest ejection.
+const MIN_EJECTION: Duration = Duration::from_millis(250);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Doublings after which the longest ejection is surely reached.
+const MAX_EJECTION_DOUBLINGS: u32 = 8;
+/// Below this CPU utilization an endpoint's throughput says nothing.
+const MIN_UTILIZATION: f64 = 0.3;
+/// An endpoint is slow if it completes less than this share of what the mean one does at the same
+/// utilization.
+const SLOW_THROUGHPUT: f64 = 0.4;
+/// An endpoint is failing above this error rate, beyond this multiple of the mean rate of the
+/// others.
+const MIN_ERROR_RATE: f64 = 0.1;
+const ERROR_RATE_MULTIPLE: f64 = 2.0;
+/// A zone is lost with at least this many endpoints ejected.
+const MIN_EJECTED_IN_LOST_ZONE: usize = 2;
+
+impl Balancer {
+    /// Whether an endpoint is slow beside the mean one.
+    pub(super) fn is_slow(&self, endpoint: &Endpoint) -> bool {
+        let own = &endpoint.throughput;
+        let mean = &self.state.fleet_throughput;
+        own.cpu_utilization > MIN_UTILIZATION
+            && own.requests_per_second * mean.cpu_utilization
+                < SLOW_THROUGHPUT * mean.requests_per_second * own.cpu_utilization
+    }
+
+    /// Whether an endpoint answers with errors far more often than the others. It would always have
+    /// capacity, and draw all requests to itself; requests that are invalid fail wherever they are
+    /// sent.
+    pub(super) fn is_failing(&self, endpoint: &Endpoint) -> bool {
+        if endpoint.error_rate <= MIN_ERROR_RATE {
+            return false;
+        }
+        let listed = || {
+            self.state
+                .endpoints
+                .iter()
+                .filter(|endpoint| endpoint.is_listed)
+        };
+        let sum: f64 = listed().map(|endpoint| endpoint.error_rate).sum();
+        let mean_of_others = (sum - endpoint.error_rate) / (listed().count() as f64 - 1.0);
+        endpoint.error_rate > MIN_ERROR_RATE + ERROR_RATE_MULTIPLE * mean_of_others
+    }
+
+    /// Whether a whole zone seems lost.
+    pub(super) fn is_zone_lost(&self, zone: ZoneId) -> bool {
+        let members = || {
+            self.state
+                .endpoints
+                .iter()
+                .filter(|endpoint| endpoint.is_listed && endpoint.zone == zone)
+        };
+        let last_heard_at = members()
+            .map(|endpoint| endpoint.last_heard_at)
+            .max()
+            .unwrap_or_default();
+        let is_silent = |endpoint: &&Endpoint| {
+            endpoint.ejected_until.is_some() && endpoint.last_failure_at > last_heard_at
+        };
+        members().filter(is_silent).count() >= MIN_EJECTED_IN_LOST_ZONE
+    }
+
+    /// A connection to an endpoint failed. That may be the connection alone, so a health check
+    /// follows at once.
+    pub(super) fn suspect(&mut self, now: Timestamp, id: EndpointId, actions: &mut Vec<Action>) {
+        if !self.settings.health_checks {
+            return self.eject(now, id);
+        }
+        if self.state.endpoint(id).ejected_until.is_some() {
+            return;
+        }
+        self.state.endpoint_mut(id).ejected_until = Some(now);
+        self.state.monitor(id);
+        // An endpoint that has left the list is not checked any more.
+        let endpoint = self.state.endpoint(id);
+        if endpoint.is_listed && !endpoint.health_check_in_flight {
+            self.check_health(now, id, actions);
+        }
+    }
+
+    /// Ejects an endpoint for a back-off.
+    pub(super) fn eject(&mut self, now: Timestamp, id: EndpointId) {
+        let endpoint = self.state.endpoint_mut(id);
+        let doublings = endpoint.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let backoff = (MIN_EJECTION * (1 << doublings)).min(MAX_EJECTION);
+        endpoint.ejections += 1;
+        endpoint.ejected_until = Some(now + backoff);
+        self.state.monitor(id);
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/overdue.rs
@@ -0,0 +1,104 @@
+//! When an attempt without a word is presumed lost.
+//!
+//! Where running requests report progress, an attempt is overdue when it was silent for longer than
+//! the progress interval and its latency objective allow. Its slots are released, and its endpoint
+//! is put on probation unless it has responded since the send. If the endpoint was heard of since,
+//! the connection is at fault: connections that are idle for nearly as long as that one was are not
+//! trusted for a while. Where no progress is reported, nothing is overdue.
+
+use super::Balancer;
+use crate::api::{Settings, Timestamp};
+use crate::state::{Attempt, Request};
+use crate::time::divide;
+use std::time::Duration;
+
+/// Progress intervals that an attempt without a work hint may be silent where its start is not
+/// reported: it may as well be in a queue.
+const SILENT_INTERVALS_WITHOUT_START: u32 = 3;
+/// How long a limit on idle connections is believed.
+const IDLE_LIMIT_LIFETIME: Duration = Duration::from_secs(20);
+/// The limit is this part of the idle time of a connection that failed, in quarters.
+const IDLE_LIMIT_QUARTERS: u32 = 3;
+
+/// An attempt that is overdue, and what it takes.
+struct OverdueAttempt {
+    attempt: Attempt,
+    slots: f64,
+    memory: f64,
+}
+
+impl Balancer {
+    /// Releases what overdue attempts take, and draws the conclusions.
+    pub(super) fn release_overdue(&mut self, now: Timestamp) {
+        for overdue in self.mark_overdue(now) {
+            let OverdueAttempt {
+                attempt,
+                slots,
+                memory,
+            } = overdue;
+            let endpoint = self.state.endpoint_mut(attempt.endpoint);
+            endpoint.release(now, attempt.sent_at, slots, memory);
+            endpoint.on_probation |= endpoint.last_response_at < attempt.sent_at;
+            self.limit_idle_connections(now, &attempt);
+        }
+        if now >= self.state.idle_connection_limit_until {
+            self.state.idle_connection_limit = Duration::ZERO;
+        }
+    }
+
+    fn mark_overdue(&mut self, now: Timestamp) -> Vec<OverdueAttempt> {
+        if self.settings.progress_interval.is_zero() {
+            return Vec::new();
+        }
+        let mut overdue = Vec::new();
+        let resumed_at = self.state.resumed_at;
+        for request in self.state.requests.values_mut() {
+            let patience = patience_for(&self.settings, request);
+            let (slots, memory) = (request.slots, request.memory);
+            for attempt in &mut request.attempts {
+                if !attempt.is_in_flight() || attempt.is_overdue {
+                    continue;
+                }
+                attempt.is_overdue = now > attempt.last_heard_at.max(resumed_at) + patience;
+                if attempt.is_overdue {
+                    overdue.push(OverdueAttempt {
+                        attempt: *attempt,
+                        slots,
+                        memory,
+                    });
+                }
+            }
+        }
+        overdue
+    }
+
+    fn limit_idle_connections(&mut self, now: Timestamp, attempt: &Attempt) {
+        let was_idle = attempt.connection_idle > 2 * self.tick_interval();
+        let endpoint_is_well =
+            self.state.endpoint(attempt.endpoint).last_heard_at > attempt.sent_at;
+        let connection_failed = endpoint_is_well && !attempt.has_started && was_idle;
+        if !self.settings.reports_start || !connection_failed {
+            return;
+        }
+        let state = &mut self.state;
+        let known = if now < state.idle_connection_limit_until {
+            state.idle_connection_limit
+        } else {
+            Duration::MAX
+        };
+        state.idle_connection_limit =
+            known.min(divide(attempt.connection_idle, 4) * IDLE_LIMIT_QUARTERS);
+        state.idle_connection_limit_until = now + IDLE_LIMIT_LIFETIME;
+    }
+}
+
+/// How long an attempt of the request may be silent.
+fn patience_for(settings: &Settings, request: &Request) -> Duration {
+    let interval = settings.progress_interval;
+    let silence = match request.work_hint {
+        Some(work) => interval.min(2 * work),
+        None if settings.reports_start => interval,
+        None => SILENT_INTERVALS_WITHOUT_START * interval,
+    };
+    silence + settings.classes[request.class.0].latency_objective
+}
--- /dev/null
+++ b/crates/decisions/src/policy/preference.rs
@@ -0,0 +1,283 @@
+//! The order in which endpoints are considered for a request.
+//!
+//! For each class, the endpoints it may use stand in blocks: the home zone before all others, and
+//! within each the kinds that no narrower class depends on, then those that one does, then those
+//! too slow for the tightest objective. Within a block they stand in the order of names. The order
+//! depends on the list and on learnt slots alone.
+//!
+//! Two departures from Allocation Priority Policies. Dispatchers share one order of names and would
+//! all start at the head of each block, so each starts at a place of its own. And where dispatchers
+//! outnumber endpoints, the order of one request is no longer that of the list: few dispatchers
+//! would find the warm endpoints, or the turns of those in slow start, in list order.
+
+use super::Balancer;
+use crate::api::{Class, EndpointId, KindId, Timestamp};
+use crate::math::{gcd, golden_multiple, hash};
+use crate::state::{Endpoint, Request};
+use crate::time::micros_f64;
+use std::borrow::Cow;
+
+/// Blocks in each of the home zone and all other zones.
+const BLOCKS_PER_ZONE: u8 = 3;
+const BLOCKS: u8 = 2 * BLOCKS_PER_ZONE;
+/// Blocks within a zone, in order.
+const OPEN_KINDS: u8 = 0;
+const NEEDED_KINDS: u8 = 1;
+const SLOW_KINDS: u8 = 2;
+/// A kind is slow if its size for its slots, times the smallest objective stretch, is below this
+/// multiple of the mean.
+const SLOW_KIND_MULTIPLE: f64 = 1.1;
+/// Requests with one affinity key stay with one in this many endpoints, and with at least the
+/// second number.
+const AFFINITY_FRACTION: usize = 4;
+const MIN_AFFINITY_ENDPOINTS: usize = 4;
+/// A request waits for these endpoints for this share of its objective before any other may serve
+/// it.
+const AFFINITY_WAIT: f64 = 0.3;
+
+/// An endpoint in the preference order.
+#[derive(Clone, Copy)]
+pub(super) struct Candidate {
+    /// Number of its block; lower is preferred.
+    pub(super) block: u8,
+    pub(super) endpoint: EndpointId,
+}
+
+/// The endpoints that may serve a class, in the order in which they are considered.
+#[derive(Default)]
+pub(super) struct PreferenceOrder {
+    candidates: Vec<Candidate>,
+    /// The first of them, in the home zone.
+    home_count: usize,
+}
+
+impl PreferenceOrder {
+    pub(super) fn len(&self) -> usize {
+        self.candidates.len()
+    }
+
+    pub(super) fn candidates(&self) -> &[Candidate] {
+        &self.candidates
+    }
+}
+
+/// Sums over the listed endpoints of a kind.
+#[derive(Clone, Copy, Default)]
+struct KindTotals {
+    /// Sum of the relative sizes; not a number where one is not known.
+    size: f64,
+    slots: f64,
+}
+
+impl Balancer {
+    /// Works the order out anew, after a change of the list or of learnt slots.
+    pub(super) fn rebuild_preferences(&mut self) {
+        let by_name = self.state.by_name.iter().copied();
+        let listed: Vec<_> = by_name
+            .filter(|&id| self.state.endpoint(id).is_listed)
+            .collect();
+        let totals = self.kind_totals(&listed);
+        let size: f64 = totals.iter().map(|kind| kind.size).sum();
+        let slots: f64 = totals.iter().map(|kind| kind.slots).sum();
+        let mean_size_per_slot = size / slots;
+        let classes = &self.settings.classes;
+        let smallest_stretch = classes
+            .iter()
+            .map(|class| class.objective_stretch)
+            .fold(f64::MAX, f64::min)
+            .max(1.0);
+        let is_slow = |kind: KindId| {
+            let KindTotals { size, slots } = totals[kind.0];
+            size / slots * smallest_stretch < SLOW_KIND_MULTIPLE * mean_size_per_slot
+        };
+        let order = |class| self.preference_order(class, &listed, &is_slow);
+        self.preferences = classes.iter().map(order).collect();
+    }
+
+    fn kind_totals(&self, listed: &[EndpointId]) -> Vec<KindTotals> {
+        let mut totals = vec![KindTotals::default(); self.settings.kind_count];
+        for endpoint in listed.iter().map(|&id| self.state.endpoint(id)) {
+            let kind = &mut totals[endpoint.kind.0];
+            kind.size += if endpoint.relative_size > 0.0 {
+                endpoint.relative_size
+            } else {
+                f64::NAN
+            };
+            kind.slots += self.state.kind_slots[endpoint.kind.0].max(1.0);
+        }
+        totals
+    }
+
+    fn preference_order(
+        &self,
+        class: &Class,
+        listed: &[EndpointId],
+        is_slow: &impl Fn(KindId) -> bool,
+    ) -> PreferenceOrder {
+        let classes = &self.settings.classes;
+        let is_needed = |kind| {
+            classes
+                .iter()
+                .flat_map(|class| &class.allowed_kinds)
+                .any(|kinds| kinds.contains(&kind))
+        };
+        let block_of_kind = |kind: KindId| {
+            if is_slow(kind) {
+                SLOW_KINDS
+            } else if class.allowed_kinds.is_none() && is_needed(kind) {
+                NEEDED_KINDS
+            } else {
+                OPEN_KINDS
+            }
+        };
+        let mut order = PreferenceOrder::default();
+        for block in 0..BLOCKS {
+            let is_home_block = block < BLOCKS_PER_ZONE;
+            let belongs = |endpoint: &Endpoint| {
+                (Some(endpoint.zone) == self.settings.home_zone) == is_home_block
+                    && block_of_kind(endpoint.kind) == block % BLOCKS_PER_ZONE
+                    && class.allows(endpoint.zone, endpoint.kind)
+            };
+            let members: Vec<_> = listed
+                .iter()
+                .copied()
+                .filter(|&id| belongs(self.state.endpoint(id)))
+                .collect();
+            let ordered = self.in_own_order(&members);
+            order
+                .candidates
+                .extend(ordered.map(|endpoint| Candidate { block, endpoint }));
+            if is_home_block {
+                order.home_count = order.candidates.len();
+            }
+        }
+        order
+    }
+
+    /// The members of a block, from this dispatcher's own start.
+    ///
+    /// Where dispatchers share starts, what leaves one full endpoint would all go to the same next
+    /// one, so each goes on in steps of its own that meet every member once.
+    fn in_own_order(&self, members: &[EndpointId]) -> impl Iterator<Item = EndpointId> {
+        let count = members.len();
+        let start = count * self.settings.instance_index / self.settings.instance_count;
+        let mut step = 1;
+        if self.settings.instance_count > count && count > 1 {
+            step = 1
+                + (golden_multiple(self.settings.instance_index).fract() * (count - 1) as f64)
+                    as usize;
+            while gcd(step, count) > 1 {
+                step -= 1;
+            }
+        }
+        (0..count).map(move |position| members[(start + position * step) % count])
+    }
+
+    /// The order for one request, with or without the endpoints of other zones.
+    pub(super) fn candidates_for(
+        &self,
+        now: Timestamp,
+        request: &Request,
+        across_zones: bool,
+        home_is_lost: bool,
+    ) -> Cow<'_, [Candidate]> {
+        let order = &self.preferences[request.class.0];
+        let mut candidates = Cow::Borrowed(if across_zones {
+            &order.candidates[..]
+        } else {
+            &order.candidates[..order.home_count]
+        });
+        if order.len() < self.settings.instance_count {
+            self.order_for_large_fleet(
+                now,
+                request,
+                across_zones,
+                home_is_lost,
+                candidates.to_mut(),
+            );
+        }
+        candidates
+    }
+
+    /// Where dispatchers outnumber the endpoints of a class: those in slow start first, so that
+    /// their turns are used, slow ones last or, while the request could cross zones instead, not at
+    /// all.
+    fn order_for_large_fleet(
+        &self,
+        now: Timestamp,
+        request: &Request,
+        across_zones: bool,
+        home_is_lost: bool,
+        candidates: &mut Vec<Candidate>,
+    ) {
+        let polled = self.is_large_polled_fleet();
+        candidates.retain(|candidate| {
+            let endpoint = self.state.endpoint(candidate.endpoint);
+            endpoint.ejected_until.is_none() && (across_zones || !self.is_slow(endpoint))
+        });
+        self.keep_affinity_endpoints(now, request, candidates);
+        let affinity = |endpoint: &Endpoint| {
+            request
+                .affinity_key
+                .map(|key| hash(key ^ endpoint.name_hash))
+        };
+        candidates.sort_by_cached_key(|candidate| {
+            let endpoint = self.state.endpoint(candidate.endpoint);
+            let rank = if home_is_lost && Some(endpoint.zone) == self.settings.home_zone {
+                3
+            } else if polled && self.time_in_slow_start(now, endpoint).is_some() {
+                0
+            } else if self.is_slow(endpoint) {
+                2
+            } else {
+                1
+            };
+            (rank, candidate.block, affinity(endpoint))
+        });
+        self.swap_first_two(request, candidates);
+    }
+
+    /// Keeps the few endpoints that serve the request's affinity key, for a while.
+    ///
+    /// Otherwise every endpoint would fetch what any request is about, and all would wait for the
+    /// store that they fetch it from. While these few are full the request waits a little: a fetch
+    /// elsewhere would keep all full for longer.
+    fn keep_affinity_endpoints(
+        &self,
+        now: Timestamp,
+        request: &Request,
+        candidates: &mut Vec<Candidate>,
+    ) {
+        let Some(key) = request
+            .affinity_key
+            .filter(|_| self.is_large_polled_fleet())
+        else {
+            return;
+        };
+        let objective_us = micros_f64(self.settings.classes[request.class.0].latency_objective);
+        let waited_us = now.micros_since(request.started_at) as f64;
+        let count = (candidates.len() / AFFINITY_FRACTION).max(MIN_AFFINITY_ENDPOINTS);
+        if waited_us < objective_us * AFFINITY_WAIT && count < candidates.len() {
+            let distance = |candidate: &Candidate| {
+                hash(key ^ self.state.endpoint(candidate.endpoint).name_hash)
+            };
+            candidates.select_nth_unstable_by_key(count, distance);
+            candidates.truncate(count);
+        }
+    }
+
+    /// All dispatchers have one order of endpoints for a key; half of them swap the first two of
+    /// it.
+    fn swap_first_two(&self, request: &Request, candidates: &mut [Candidate]) {
+        let instance = self.settings.instance_index as u64;
+        let swaps = request
+            .affinity_key
+            .is_some_and(|key| hash(key ^ instance) & 1 == 1);
+        if let Some(first_two) = candidates.get_mut(..2)
+            && swaps
+            && first_two[0].block == first_two[1].block
+        {
+            first_two.reverse();
+        }
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/selection.rs
@@ -0,0 +1,204 @@
+//! Which endpoint gets a request: the first in the preference order that would start it now.
+//!
+//! Inputs: the preference order, what the rules permit, the believed capacity of each endpoint, and
+//! how recent that belief is. An endpoint of which there is no recent news is checked first, so
+//! that a request is not sent to where there was capacity a while ago. Other zones are considered
+//! once the request has waited for a share of its latency objective, so that it does not pay for
+//! crossing zones just before the home zone has capacity.
+
+use super::Balancer;
+use super::capacity::BELIEF_TIME_CONSTANT_US;
+use super::preference::Candidate;
+use crate::api::{Action, EndpointId, RequestId, Timestamp};
+use crate::rules::Permission;
+use crate::state::Request;
+use crate::time::{from_micros_f64, micros_f64};
+
+/// Slots that an endpoint keeps free where dispatchers outnumber endpoints, while any endpoint can:
+/// others see the same report, and more than one may act on it before the next.
+const SPARE_SLOTS: f64 = 2.0;
+/// Health checks sent for one request before it is sent on belief alone.
+const MAX_CHECKS_PER_REQUEST: u32 = 4;
+/// Reports that change within this share of a mean running time describe the present.
+const CURRENT_REPORTS: f64 = 0.33;
+/// News of an endpoint is recent for this share of a mean running time.
+const RECENT_NEWS: f64 = 0.25;
+/// The price of crossing zones is the share of its objective that a request waits for the home
+/// zone, up to this.
+const MAX_HOME_ZONE_WAIT: f64 = 0.5;
+
+/// Where a request goes.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Selection {
+    /// To this endpoint.
+    Send(EndpointId),
+    /// To this endpoint once a health check has shown that it has capacity.
+    CheckFirst(EndpointId),
+    /// Nowhere yet: the response to a health check is awaited, or nothing may be sent.
+    Wait,
+    /// Nowhere yet: no endpoint would start it now.
+    NoCapacity,
+}
+
+/// What holds for all endpoints that are considered for a request.
+struct Search<'a> {
+    now: Timestamp,
+    request: &'a Request,
+    permission: &'a Permission,
+    /// News since then is recent.
+    recent_since: Timestamp,
+    /// Reports describe the present.
+    reports_are_current: bool,
+}
+
+impl Balancer {
+    /// Sends a request if an endpoint would start it now; any selection but [`Selection::Send`]
+    /// leaves it where it is.
+    pub(super) fn try_send(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        may_queue_at_endpoint: bool,
+        actions: &mut Vec<Action>,
+    ) -> Selection {
+        let request = &self.state.requests[&id];
+        let permission = self.permission(now, request);
+        if permission.send.is_err() || now >= request.deadline {
+            return Selection::Wait;
+        }
+        let selection = self.select(now, request, &permission, may_queue_at_endpoint);
+        match selection {
+            Selection::CheckFirst(endpoint) => self.check_for_request(now, id, endpoint, actions),
+            Selection::Send(endpoint) => self.send(now, id, endpoint, actions),
+            Selection::Wait | Selection::NoCapacity => {}
+        }
+        selection
+    }
+
+    fn send(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        endpoint: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
+        let reports_start = self.settings.reports_start;
+        self.state.awaits_start |= reports_start;
+        self.spend_slow_start_share(now, endpoint, id);
+        let idle = self.state.start_attempt(now, id, endpoint, reports_start);
+        // The endpoint, or something on the way, may have dropped a connection that was idle for as
+        // long.
+        let limit = self.state.idle_connection_limit;
+        let only_attempt = self.state.endpoint(endpoint).own_attempts == 1;
+        if !limit.is_zero() && idle >= Some(limit) && only_attempt {
+            actions.push(Action::CloseIdleConnections { endpoint });
+        }
+        actions.push(Action::Send {
+            request: id,
+            endpoint,
+            timeout: None,
+        });
+    }
+
+    fn select(
+        &self,
+        now: Timestamp,
+        request: &Request,
+        permission: &Permission,
+        may_queue_at_endpoint: bool,
+    ) -> Selection {
+        let is_large_polled_fleet = self.is_large_polled_fleet();
+        let home_is_lost = is_large_polled_fleet
+            && self
+                .settings
+                .home_zone
+                .is_some_and(|zone| self.is_zone_lost(zone));
+        let across_zones = home_is_lost || self.may_cross_zones(now, request);
+        let search = Search {
+            now,
+            request,
+            permission,
+            recent_since: now.saturating_sub(from_micros_f64(RECENT_NEWS * self.state.mean_run_us)),
+            reports_are_current: self.can_poll_load()
+                && self.state.report_interval_us < CURRENT_REPORTS * self.state.mean_run_us,
+        };
+        let candidates = self.candidates_for(now, request, across_zones, home_is_lost);
+        let rounds: &[f64] = if is_large_polled_fleet {
+            &[SPARE_SLOTS, 0.0]
+        } else {
+            &[0.0]
+        };
+        for &spare_slots in rounds {
+            let mut considered = candidates.iter().map(|candidate| candidate.endpoint);
+            if let Some(selection) =
+                considered.find_map(|id| self.consider(&search, id, spare_slots))
+            {
+                return selection;
+            }
+        }
+        if may_queue_at_endpoint && across_zones && !is_large_polled_fleet {
+            return self.select_by_queue(&search);
+        }
+        Selection::NoCapacity
+    }
+
+    fn may_cross_zones(&self, now: Timestamp, request: &Request) -> bool {
+        let objective_us = micros_f64(self.settings.classes[request.class.0].latency_objective);
+        let home_wait = self.settings.prices.cross_zone.min(MAX_HOME_ZONE_WAIT);
+        now.micros_since(request.started_at) as f64 >= objective_us * home_wait
+    }
+
+    /// What becomes of a request at one endpoint; `None`: the next one is considered.
+    fn consider(&self, search: &Search, id: EndpointId, spare_slots: f64) -> Option<Selection> {
+        let Search { now, request, .. } = *search;
+        let endpoint = self.state.endpoint(id);
+        // With the fleet full on the mean, an endpoint without news would never be found free. Only
+        // where reports are current: older ones show capacity that others have taken since.
+        let is_unknown = search.reports_are_current
+            && now.micros_since(endpoint.reported_at) as f64 > BELIEF_TIME_CONSTANT_US;
+        let would_start = self.would_start_now(now, endpoint, request, spare_slots);
+        if !would_start && !is_unknown || !self.is_eligible(now, id, request, search.permission) {
+            return None;
+        }
+        let was_checked = self.has_no_reports(endpoint)
+            && endpoint.health_checked_at >= search.recent_since
+            && !endpoint.health_check_in_flight;
+        let has_recent_news = endpoint.reported_at >= search.recent_since || was_checked;
+        if would_start && (has_recent_news || !self.can_poll_load()) {
+            return Some(Selection::Send(id));
+        }
+        if endpoint.health_check_in_flight {
+            let response_due =
+                endpoint.health_checked_at.max(self.state.resumed_at) + self.prompt_response_time();
+            return (now <= response_due).then_some(Selection::Wait);
+        }
+        if request.health_checks < MAX_CHECKS_PER_REQUEST && self.state.health_check_credit >= 1.0 {
+            return Some(Selection::CheckFirst(id));
+        }
+        would_start.then_some(Selection::Send(id))
+    }
+
+    /// The first endpoint whose queue would start the request while that still meets its objective.
+    ///
+    /// Seldom open: requests that may wait long would fill the queues of all endpoints, and those
+    /// that may not, though worth more for a slot's time, would never find a free slot.
+    fn select_by_queue(&self, search: &Search) -> Selection {
+        let Search {
+            now,
+            request,
+            permission,
+            ..
+        } = *search;
+        let would_start_soon = |candidate: &&Candidate| {
+            self.is_eligible(now, candidate.endpoint, request, permission)
+                && self.would_start_soon(now, self.state.endpoint(candidate.endpoint), request)
+        };
+        let found = self.preferences[request.class.0]
+            .candidates()
+            .iter()
+            .find(would_start_soon);
+        found.map_or(Selection::NoCapacity, |candidate| {
+            Selection::Send(candidate.endpoint)
+        })
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -0,0 +1,155 @@
+//! How much an endpoint may be sent that has just started.
+//!
+//! An endpoint starts with a share of its capacity, and fails when all dispatchers together send it
+//! more than a multiple of its present capacity within a window. Dispatchers do not talk, so each
+//! works out alone what it may send: the window is divided into turns, the budget of a turn into
+//! grants, and a hash of the endpoint, its start and the turn decides which dispatchers get the
+//! grants. The shares of all dispatchers add up to the budget.
+
+use super::Balancer;
+use crate::api::{EndpointId, RequestId, Timestamp};
+use crate::math::{golden_multiple, unit_hash};
+use crate::state::{Endpoint, Request};
+use crate::time::{divide, micros_f64, whole_micros};
+use std::time::Duration;
+
+/// Turns in a window.
+const TURNS_PER_WINDOW: u64 = 2;
+/// The window slides, so it meets one turn more: all those together hand out the budget.
+const TURNS_MET_BY_WINDOW: u64 = TURNS_PER_WINDOW + 1;
+/// The grant for requests with a work hint, in mean requests of the heaviest class: one size for
+/// all of them, as there would always be one small enough for any dispatcher's share.
+const HINTED_GRANT: f64 = 2.0;
+/// How much sooner than its objective a request should end on an endpoint at its present capacity.
+const OBJECTIVE_MARGIN: f64 = 1.2;
+
+impl Balancer {
+    /// Whether this dispatcher's share of an endpoint in slow start allows the request; true for
+    /// any other endpoint.
+    pub(super) fn has_slow_start_share(
+        &self,
+        now: Timestamp,
+        endpoint: &Endpoint,
+        request: &Request,
+    ) -> bool {
+        let Some(age) = self.time_in_slow_start(now, endpoint) else {
+            return true;
+        };
+        let capacity_share = self.capacity_share(age);
+        if self.misses_objective(capacity_share, request) {
+            return false;
+        }
+        let cost = self.slow_start_cost(endpoint, request);
+        let grant = if request.work_hint.is_some() {
+            HINTED_GRANT * self.heaviest_run_us()
+        } else {
+            cost
+        };
+        let window_us = whole_micros(self.settings.overload_window) as f64;
+        let budget = self.settings.overload_multiple
+            * capacity_share
+            * self.slots_of(endpoint, request)
+            * window_us;
+        let grants = budget / TURNS_MET_BY_WINDOW as f64 / grant;
+        // A single request known to be very heavy could overload the endpoint by itself.
+        if grants < 1.0 {
+            return false;
+        }
+        let turn = self.slow_start_turn(age);
+        let spent = if endpoint.slow_start_turn == turn {
+            endpoint.slow_start_spent
+        } else {
+            0.0
+        };
+        spent + cost <= self.own_grants(endpoint, turn, grants) * grant
+    }
+
+    /// Records what a request takes of our share, before it is sent to an endpoint that may be in
+    /// slow start.
+    pub(super) fn spend_slow_start_share(
+        &mut self,
+        now: Timestamp,
+        id: EndpointId,
+        request: RequestId,
+    ) {
+        let endpoint = self.state.endpoint(id);
+        let Some(age) = self.time_in_slow_start(now, endpoint) else {
+            return;
+        };
+        let cost = self.slow_start_cost(endpoint, &self.state.requests[&request]);
+        let turn = self.slow_start_turn(age);
+        let endpoint = self.state.endpoint_mut(id);
+        let spent = if endpoint.slow_start_turn == turn {
+            endpoint.slow_start_spent
+        } else {
+            0.0
+        };
+        endpoint.slow_start_spent = spent + cost;
+        endpoint.slow_start_turn = turn;
+    }
+
+    /// How long ago an endpoint in slow start has started; `None` for any other endpoint.
+    pub(super) fn time_in_slow_start(
+        &self,
+        now: Timestamp,
+        endpoint: &Endpoint,
+    ) -> Option<Duration> {
+        let overloads =
+            self.settings.overload_multiple > 0.0 && !self.settings.overload_window.is_zero();
+        let start_is_known = endpoint.started_at > Timestamp::ORIGIN;
+        let age = now.saturating_duration_since(endpoint.started_at);
+        let is_slow_start = overloads
+            && !endpoint.starts_warm
+            && start_is_known
+            && age < self.settings.slow_start_duration;
+        is_slow_start.then_some(age)
+    }
+
+    /// The share of its capacity that an endpoint has at this age: it grows evenly to 1.
+    fn capacity_share(&self, age: Duration) -> f64 {
+        let initial = self.settings.slow_start_share;
+        initial + (1.0 - initial) * micros_f64(age) / micros_f64(self.settings.slow_start_duration)
+    }
+
+    /// Whether a request misses its objective at this share of the capacity even if it starts at
+    /// once.
+    fn misses_objective(&self, capacity_share: f64, request: &Request) -> bool {
+        let class = &self.settings.classes[request.class.0];
+        let objective_runs = class.objective_stretch
+            + micros_f64(class.latency_objective) / self.expected_run_us(request);
+        capacity_share * objective_runs < OBJECTIVE_MARGIN
+    }
+
+    /// What a request takes of an endpoint, in slot-microseconds: a slow kind is granted fewer
+    /// requests than a fast one with as many slots.
+    fn slow_start_cost(&self, endpoint: &Endpoint, request: &Request) -> f64 {
+        self.expected_run_us(request) * self.state.kind_run_ratio[endpoint.kind.0] * request.slots
+    }
+
+    fn heaviest_run_us(&self) -> f64 {
+        self.state
+            .classes
+            .iter()
+            .map(|class| class.run_us)
+            .fold(0.0, f64::max)
+    }
+
+    /// The number of the turn at this age. Each dispatcher's turns begin at a time of their own, so
+    /// that requests queued for a turn are not all sent at once.
+    fn slow_start_turn(&self, age: Duration) -> u64 {
+        let length_us =
+            whole_micros(divide(self.settings.overload_window, TURNS_PER_WINDOW)).max(1);
+        let offset_us =
+            length_us * self.settings.instance_index as u64 / self.settings.instance_count as u64;
+        (whole_micros(age) + offset_us) / length_us
+    }
+
+    /// How many of a turn's grants are this dispatcher's. Spread evenly however the numbers of
+    /// dispatchers are dealt to zones.
+    fn own_grants(&self, endpoint: &Endpoint, turn: u64, grants: f64) -> f64 {
+        let offset = unit_hash(endpoint.process_hash ^ turn);
+        let place = (golden_multiple(self.settings.instance_index) + offset).fract();
+        let share = grants / self.settings.instance_count as f64;
+        share.floor() + f64::from(place < share.fract())
+    }
+}
--- a/crates/decisions/src/rules/attempts.rs
+++ b/crates/decisions/src/rules/attempts.rs
@@ -1,49 +1,51 @@
-//! Whether a request may be sent, once more or to another endpoint, or refused with the promise that it
-//! had no effect.
+//! Whether a request may be sent, once more or to another endpoint, or shed with the promise that
+//! it had no effect.
 
 use super::Denial;
-use crate::api::{ClassId, Effect, Group, Micros, Settings, WorkerId, ZoneId};
+use crate::api::{
+    ClassId, DeduplicationScope, EndpointId, Idempotency, Settings, Timestamp, ZoneId,
+};
 
-/// What is known of how an attempt ended.
+/// What is known of the effect of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// No outcome yet.
-    Out,
+pub enum Execution {
+    /// It has no outcome yet.
+    InFlight,
     /// It provably had no effect.
     NeverRan,
     /// It may have had an effect.
     MayHaveRun,
 }
 
-/// An attempt of a request, as the rules look at it.
+/// An attempt of a request, as the rules see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EarlierAttempt {
-    /// Where it went.
-    pub endpoint: WorkerId,
+pub struct AttemptRecord {
+    /// Where it was sent.
+    pub endpoint: EndpointId,
     /// Zone of the endpoint at that time.
     pub zone: ZoneId,
     /// Cell of the endpoint at that time.
     pub cell: Option<u64>,
     /// When it was sent.
-    pub sent: Micros,
-    /// How it ended.
-    pub fate: Fate,
+    pub sent_at: Timestamp,
+    /// What is known of its effect.
+    pub execution: Execution,
 }
 
 /// The endpoints that recognise a repeat of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RepeatGroup {
-    group: Group,
-    first: EarlierAttempt,
+pub struct DeduplicationGroup {
+    scope: DeduplicationScope,
+    first: AttemptRecord,
 }
 
-impl RepeatGroup {
+impl DeduplicationGroup {
     /// Whether an endpoint in this zone and cell is one of them.
     pub fn contains(&self, zone: ZoneId, cell: Option<u64>) -> bool {
-        match self.group {
-            Group::All => true,
-            Group::Zone => zone == self.first.zone,
-            Group::Cell => cell.is_some() && cell == self.first.cell,
+        match self.scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => zone == self.first.zone,
+            DeduplicationScope::Cell => cell.is_some() && cell == self.first.cell,
         }
     }
 }
@@ -51,14 +53,18 @@
 /// What the rules permit for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permission {
-    /// It may be refused: trying again is harmless.
-    pub refuse: bool,
+    /// It may be shed: a retry by the client is harmless.
+    pub may_shed: bool,
     /// It may be sent (again): to any endpoint, or only to those that recognise a repeat.
-    pub send: Result<Option<RepeatGroup>, Denial>,
+    pub send: Result<Option<DeduplicationGroup>, Denial>,
 }
 
 impl Permission {
     /// Whether it may be sent to an endpoint in this zone and cell.
+    ///
+    /// # Errors
+    ///
+    /// Why it may not.
     pub fn send_to(&self, zone: ZoneId, cell: Option<u64>) -> Result<(), Denial> {
         match self.send? {
             Some(group) if !group.contains(zone, cell) => Err(Denial::MayHaveRun),
@@ -69,32 +75,50 @@
 
 /// What the rules permit for a request of this class, after these attempts.
 pub fn permission(
-    now: Micros,
+    now: Timestamp,
     settings: &Settings,
     class: ClassId,
-    attempts: impl Iterator<Item = EarlierAttempt>,
+    attempts: impl Iterator<Item = AttemptRecord>,
 ) -> Permission {
-    let (mut count, mut out, mut first) = (0, 0, None);
+    let mut count = 0;
+    let mut in_flight = 0;
+    let mut first = None;
     for attempt in attempts {
         count += 1;
-        out += usize::from(attempt.fate == Fate::Out);
-        if attempt.fate != Fate::NeverRan {
+        in_flight += usize::from(attempt.execution == Execution::InFlight);
+        if attempt.execution != Execution::NeverRan {
             first = first.or(Some(attempt));
         }
     }
-    let room = count < settings.max_attempts && out < 1 + usize::from(settings.second_copies);
-    let more = if room { Ok(None) } else { Err(Denial::AttemptsUsedUp) };
-    match (first, settings.classes[class.0].effect) {
-        (None, _) | (_, Effect::Safe) => Permission { refuse: true, send: more },
-        (Some(_), Effect::Unsafe) => Permission { refuse: false, send: Err(Denial::MayHaveRun) },
-        (Some(first), Effect::Keyed { group, window }) => {
-            // Prevents: a repeat decided in the window arrives after it, on a connection that comes up late.
-            let in_time = now + settings.connect_timeout < first.sent + window;
-            let send = match in_time {
-                true => more.map(|_| Some(RepeatGroup { group, first })),
-                false => Err(Denial::MayHaveRun),
+    let max_in_flight = 1 + usize::from(settings.hedging);
+    let exhausted = count >= settings.max_attempts || in_flight >= max_in_flight;
+    let another = if exhausted {
+        Err(Denial::AttemptsExhausted)
+    } else {
+        Ok(None)
+    };
+    match (first, settings.classes[class.0].idempotency) {
+        (None, _) | (_, Idempotency::Idempotent) => Permission {
+            may_shed: true,
+            send: another,
+        },
+        (Some(_), Idempotency::NonIdempotent) => Permission {
+            may_shed: false,
+            send: Err(Denial::MayHaveRun),
+        },
+        (Some(first), Idempotency::Keyed { scope, window }) => {
+            // A repeat arrives as late as its connection comes up, and has to arrive within the
+            // window.
+            let in_window = now + settings.connect_timeout < first.sent_at + window;
+            let send = if in_window {
+                another.map(|_| Some(DeduplicationGroup { scope, first }))
+            } else {
+                Err(Denial::MayHaveRun)
             };
-            Permission { refuse: group == Group::All, send }
+            Permission {
+                may_shed: scope == DeduplicationScope::All,
+                send,
+            }
         }
     }
 }
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -1,143 +1,173 @@
-//! How long a list of endpoints may be used: a lease, held from the time for which its source has shown it to
-//! be current.
+//! How long an endpoint list may be used: a lease, held from the time at which its source has shown
+//! it to be current.
 //!
-//! Only what a source has said renews a lease. That nothing was heard, whatever the reason, renews nothing: a
-//! call that fails, a watch that ends or one that is silent may each hide a change.
+//! Only what a source has said renews a lease. Silence renews nothing, whatever its reason: a call
+//! that fails, a watch that ends or one that is silent may each hide a change.
 
-use crate::api::{Micros, Settings};
+use crate::api::{Settings, Timestamp};
+use std::time::Duration;
 
-/// A change of the list counts as notified this long after discovery had it and could be reached, whether
-/// or not it arrived.
-const NOTIFIED_WITHIN: Micros = 6_000_000;
+/// A dispatcher counts as notified of a change this long after discovery had it and could be
+/// reached, whether or not the change arrived.
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 /// The same after a new configuration has moved discovery.
-const NOTIFIED_AFTER_MOVE: Micros = 4_000_000;
+const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
 /// A process may be held up for this long between reading the clock and writing.
-const HELD_UP: Micros = 150_000;
+const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
 
-/// What a source has let us know, or failed to.
+/// What a source of endpoints has said, or failed to say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Contact {
-    /// It told a list, a change, or that nothing has changed.
+pub enum LeaseSignal {
+    /// It sent a list, a change, or that nothing has changed.
     Confirmed,
-    /// It told a list that is older than one it has told before. Nobody knows what has changed since.
+    /// It sent a list older than one it has sent before: what has changed since is unknown.
     Outdated,
-    /// Its watch has ended, has said something that can't be used, or is given up as it says nothing any
-    /// more.
+    /// Its watch has ended, has sent something unusable, or was given up after a silence.
     WatchEnded,
     /// A call for a watch or a list failed, in whatever way.
     CallFailed,
 }
 
-/// For how long a source's list holds.
+/// How long the list of a source holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// After the last word on a watch that stands, or is silent and not yet given up.
-    watched: Micros,
+    /// After the last message of a watch that is open, or silent and not yet given up.
+    watched: Duration,
     /// Once the watch has ended.
-    unwatched: Unwatched,
+    unwatched: UnwatchedTerm,
 }
 
-/// For how long a list holds once no watch stands.
+/// How long a list holds without an open watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Unwatched {
-    /// So long after the last word: so long a dispatcher without a watch is held to its list.
-    AfterLastWord(Micros),
-    /// So long after the watch ended: what an agent beside the dispatcher has counts as notified at once,
-    /// watched or not.
-    AfterEnd(Micros),
+enum UnwatchedTerm {
+    /// This long after the last message.
+    AfterLastMessage(Duration),
+    /// This long after the end of the watch: an agent beside the dispatcher counts as having
+    /// notified it at once, watched or not.
+    AfterWatchEnd(Duration),
 }
 
 impl LeaseTerms {
-    /// What the settings give for the discovery service.
-    pub fn of(settings: &Settings) -> LeaseTerms {
-        let unwatched = match (settings.list_by_asking, settings.ask_within) {
-            (false, _) => Unwatched::AfterEnd(settings.drain_grace.saturating_sub(HELD_UP)),
-            (true, 0) => Unwatched::AfterLastWord(NOTIFIED_WITHIN),
-            (true, ask_within) => Unwatched::AfterLastWord(ask_within.min(NOTIFIED_WITHIN)),
+    /// The terms that the settings give for the discovery service.
+    pub fn for_discovery(settings: &Settings) -> LeaseTerms {
+        let unwatched = if !settings.polls_discovery {
+            UnwatchedTerm::AfterWatchEnd(settings.drain_grace.saturating_sub(MAX_PROCESS_STALL))
+        } else if settings.max_poll_interval.is_zero() {
+            UnwatchedTerm::AfterLastMessage(NOTIFIED_WITHIN)
+        } else {
+            UnwatchedTerm::AfterLastMessage(settings.max_poll_interval.min(NOTIFIED_WITHIN))
         };
-        LeaseTerms { watched: NOTIFIED_WITHIN, unwatched }
+        LeaseTerms {
+            watched: NOTIFIED_WITHIN,
+            unwatched,
+        }
     }
 
-    /// For a source whose word has to be renewed and that tells of its own end: its list holds for as long as
-    /// that of a watch, however its session ends.
-    pub fn of_session() -> LeaseTerms {
-        LeaseTerms { watched: NOTIFIED_WITHIN, unwatched: Unwatched::AfterLastWord(NOTIFIED_WITHIN) }
+    /// The terms of a source with a session of its own, whose end it notices: its list holds as
+    /// long as that of a watch, however the session ends.
+    pub fn for_session() -> LeaseTerms {
+        LeaseTerms {
+            watched: NOTIFIED_WITHIN,
+            unwatched: UnwatchedTerm::AfterLastMessage(NOTIFIED_WITHIN),
+        }
     }
 }
 
-/// The lease on what one source has listed.
+/// The lease on the list of one source.
 ///
-/// A list is used only while it is confirmed. The list in a configuration is not: nobody knows how old it is,
-/// and what has changed since counts as notified from the first moment of a process.
+/// A list is used only while it is confirmed. The list in a configuration is not: its age is
+/// unknown, and a new process counts as notified of every change from its first moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
-    /// `None`: the source is present for as long as it lists anything, and its list does not expire.
+    /// `None`: the source is present for as long as it lists anything, and its list does not
+    /// expire.
     terms: Option<LeaseTerms>,
-    state: State,
+    state: LeaseState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum State {
-    /// No word has come yet.
+enum LeaseState {
+    /// The source has said nothing yet.
     #[default]
     Unconfirmed,
-    /// Since when it is known to have been current, and when that is too long ago.
-    Confirmed { since: Micros, until: Micros },
+    /// The list was current at `as_of`; the lease ends at `expires_at`.
+    Confirmed {
+        as_of: Timestamp,
+        expires_at: Timestamp,
+    },
 }
 
 impl Lease {
-    /// A new configuration says where the source is: its list expires by these terms, and what it told before
-    /// holds no longer than after a move.
-    pub fn set_terms(&mut self, now: Micros, terms: LeaseTerms) {
+    /// Sets the terms by which the list expires from now on. What the source has sent before holds
+    /// no longer than after a move of discovery.
+    pub fn set_terms(&mut self, now: Timestamp, terms: LeaseTerms) {
         self.terms = Some(terms);
-        if let State::Confirmed { until, .. } = &mut self.state {
-            *until = (*until).min(now + NOTIFIED_AFTER_MOVE);
+        if let LeaseState::Confirmed { expires_at, .. } = &mut self.state {
+            *expires_at = (*expires_at).min(now + NOTIFIED_AFTER_MOVE);
         }
     }
 
-    /// Takes in what the source has let us know. `since` is the earliest time at which it can have been so:
-    /// for a word, when it can have been said; for the end of a watch, when that was last seen to stand or
-    /// was given up.
-    pub fn note(&mut self, since: Micros, contact: Contact) {
+    /// Takes in a signal of the source.
+    ///
+    /// `as_of` is the earliest time at which the signal can have been true: for a message, when it
+    /// can have been sent; for the end of a watch, when the watch was last seen open or was given
+    /// up.
+    pub fn note(&mut self, as_of: Timestamp, signal: LeaseSignal) {
         let Some(terms) = self.terms else {
-            if contact == Contact::Confirmed {
-                self.state = State::Confirmed { since, until: Micros::MAX };
+            if signal == LeaseSignal::Confirmed {
+                self.state = LeaseState::Confirmed {
+                    as_of,
+                    expires_at: Timestamp::MAX,
+                };
             }
             return;
         };
-        match (contact, &mut self.state) {
-            (Contact::Confirmed, State::Unconfirmed) => self.confirm(since, terms),
-            // Prevents: a word that was said long ago, and is read late, takes back what is known since.
-            (Contact::Confirmed, State::Confirmed { since: known, .. }) if *known <= since => {
-                self.confirm(since, terms);
+        match (signal, &mut self.state) {
+            (LeaseSignal::Confirmed, LeaseState::Unconfirmed) => self.confirm(as_of, terms),
+            // A message that was read late must not take back what is known since.
+            (LeaseSignal::Confirmed, LeaseState::Confirmed { as_of: known, .. })
+                if *known <= as_of =>
+            {
+                self.confirm(as_of, terms);
             }
-            (Contact::WatchEnded, State::Confirmed { since: known, until }) => {
-                let ends = match terms.unwatched {
-                    Unwatched::AfterLastWord(time) => known.saturating_add(time),
-                    Unwatched::AfterEnd(time) => since.saturating_add(time),
+            (
+                LeaseSignal::WatchEnded,
+                LeaseState::Confirmed {
+                    as_of: known,
+                    expires_at,
+                },
+            ) => {
+                let end = match terms.unwatched {
+                    UnwatchedTerm::AfterLastMessage(term) => *known + term,
+                    UnwatchedTerm::AfterWatchEnd(term) => as_of + term,
                 };
-                *until = (*until).min(ends);
+                *expires_at = (*expires_at).min(end);
             }
-            // A crowded discovery fails calls in the same way as one that is down, and only the second has
-            // nothing to tell: what nobody has shown renews nothing.
-            (Contact::CallFailed | Contact::Outdated, _) => {}
-            (Contact::Confirmed | Contact::WatchEnded, _) => {}
+            // A crowded discovery fails calls in the same way as one that is down, and only the
+            // second has nothing to tell: a failure renews nothing.
+            (LeaseSignal::CallFailed | LeaseSignal::Outdated, _) => {}
+            (LeaseSignal::Confirmed | LeaseSignal::WatchEnded, _) => {}
         }
     }
 
-    fn confirm(&mut self, since: Micros, terms: LeaseTerms) {
-        self.state = State::Confirmed { since, until: since.saturating_add(terms.watched) };
+    fn confirm(&mut self, as_of: Timestamp, terms: LeaseTerms) {
+        self.state = LeaseState::Confirmed {
+            as_of,
+            expires_at: as_of + terms.watched,
+        };
     }
 
     /// Whether the list may be used.
-    pub fn valid(&self, now: Micros) -> bool {
-        matches!(self.state, State::Confirmed { until, .. } if now < until)
+    pub fn is_valid(&self, now: Timestamp) -> bool {
+        matches!(self.state, LeaseState::Confirmed { expires_at, .. } if now < expires_at)
     }
 
-    /// When it expires, unless it is confirmed anew; `None` where it does not or is not confirmed.
-    pub fn expires(&self) -> Option<Micros> {
+    /// When the lease ends unless it is renewed; `None` where it does not end or is not confirmed.
+    pub fn expires_at(&self) -> Option<Timestamp> {
         match self.state {
-            State::Confirmed { until, .. } if until < Micros::MAX => Some(until),
+            LeaseState::Confirmed { expires_at, .. } if expires_at < Timestamp::MAX => {
+                Some(expires_at)
+            }
             _ => None,
         }
     }
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -1,53 +1,62 @@
-//! What the rules permit now. Everything that sends, repeats or refuses a request asks here: the decisions
-//! before they choose an endpoint, and the core once more, at run time, before it carries a choice out.
+//! What the rules of the service permit now.
 //!
-//! The functions are pure: they get the time and the facts, and keep no state but a [`Lease`].
+//! Everything that sends, repeats or sheds a request asks here: the decisions before they select an
+//! endpoint, and the core once more, at run time, before it carries a decision out. The functions
+//! are pure: they get the time and the facts, and keep no state but a [`Lease`].
 //!
-//! [`attempts`]: what may be sent again, or refused. [`membership`]: which list of endpoints may be used, and
-//! until when.
+//! - [`attempts`]: what may be sent again, or shed.
+//! - [`membership`]: which endpoint list may be used, and until when.
 
 pub mod attempts;
 pub mod membership;
 
-pub use attempts::{EarlierAttempt, Fate, Permission, RepeatGroup, permission};
-pub use membership::{Contact, Lease, LeaseTerms};
+pub use attempts::{AttemptRecord, DeduplicationGroup, Execution, Permission, permission};
+pub use membership::{Lease, LeaseSignal, LeaseTerms};
 
-use crate::api::{Micros, WorkerState};
+use crate::api::{EndpointState, Timestamp};
 
 /// Why something is not permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum Denial {
-    /// The request has its final answer.
-    #[error("the request is over")]
-    RequestOver,
-    /// No time is left to wait for an answer.
-    #[error("no time is left")]
+    /// The request has its final response.
+    #[error("the request is done")]
+    RequestDone,
+    /// No time is left to wait for a response.
+    #[error("the deadline has passed")]
     DeadlinePassed,
-    /// The settings allow no further attempt, or none beside the one that is out.
+    /// The settings allow no further attempt, or none beside the one in flight.
     #[error("no further attempt is allowed")]
-    AttemptsUsedUp,
+    AttemptsExhausted,
     /// An earlier attempt may have run, and the class allows no repeat, here or by now.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
     /// The endpoint is not known.
     #[error("the endpoint is unknown")]
     UnknownEndpoint,
-    /// The endpoint drains or is gone.
-    #[error("the endpoint drains or is gone")]
-    EndpointLeaves,
-    /// Nobody has confirmed the list that holds the endpoint, or not for too long.
+    /// The endpoint is draining or gone.
+    #[error("the endpoint is draining or gone")]
+    EndpointLeaving,
+    /// The list that holds the endpoint is not confirmed, or was confirmed too long ago.
     #[error("the endpoint list is not confirmed")]
     ListNotConfirmed,
 }
 
-/// Whether anything new, a request or a probe, may go to an endpoint in this state, on a list held under this
-/// lease; and until when its first byte may be written.
-pub fn endpoint_permission(now: Micros, state: WorkerState, lease: &Lease) -> Result<Option<Micros>, Denial> {
-    if state != WorkerState::Ready {
-        return Err(Denial::EndpointLeaves);
+/// Whether anything new, a request or a health check, may be sent to an endpoint in this state, on
+/// a list under this lease; and until when its first byte may be written, `None` for no limit.
+///
+/// # Errors
+///
+/// [`Denial::EndpointLeaving`] or [`Denial::ListNotConfirmed`].
+pub fn endpoint_permission(
+    now: Timestamp,
+    state: EndpointState,
+    lease: &Lease,
+) -> Result<Option<Timestamp>, Denial> {
+    if state != EndpointState::Ready {
+        return Err(Denial::EndpointLeaving);
     }
-    if !lease.valid(now) {
+    if !lease.is_valid(now) {
         return Err(Denial::ListNotConfirmed);
     }
-    Ok(lease.expires())
+    Ok(lease.expires_at())
 }
--- /dev/null
+++ b/crates/decisions/src/settings/convert.rs
@@ -0,0 +1,182 @@
+//! The settings document in the terms of the decisions.
+
+use super::{
+    ClassSettings, DeploymentSettings, DiscoveryMode, QueueOrder, RepeatSemantics, ReportDelivery,
+    index_of,
+};
+use crate::api::{
+    Class, DeduplicationScope, Idempotency, KindId, LoadReportSource, Prices, Settings,
+    SettingsError, Tenant, ZoneId,
+};
+use std::time::Duration;
+
+/// Where the settings name no time, a connection comes up within this one.
+const DEFAULT_CONNECT_TIMEOUT_US: u64 = 1_000_000;
+
+/// Settings that name something that does not exist, or that cannot work.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum DeploymentSettingsError {
+    /// `my-zone` is none of `zones`.
+    #[error("my-zone: unknown zone {0}")]
+    UnknownZone(String),
+    /// The decisions cannot work with them.
+    #[error(transparent)]
+    Unusable(#[from] SettingsError),
+}
+
+/// Indices of the names that the settings know; an unknown name allows nothing and is no error.
+fn known_indices<'a>(names: &'a [String], known: &'a [String]) -> impl Iterator<Item = usize> + 'a {
+    names.iter().filter_map(|name| index_of(known, name))
+}
+
+impl DeploymentSettings {
+    /// A connection to an endpoint that is not up within this time has failed. Both those who open
+    /// connections and those who decide what may still be sent ask here.
+    pub fn connect_timeout(&self) -> Duration {
+        let or_default = |micros| {
+            if micros == 0 {
+                DEFAULT_CONNECT_TIMEOUT_US
+            } else {
+                micros
+            }
+        };
+        let configured = or_default(self.limits.connect_timeout_us);
+        // An attempt must not wait for its connection until the grace of an endpoint that drains
+        // meanwhile is over.
+        let within_grace = or_default(self.rules.drain_grace_us / 2);
+        Duration::from_micros(configured.min(within_grace))
+    }
+
+    /// The settings of the decisions, checked.
+    ///
+    /// # Errors
+    ///
+    /// An unknown home zone, or settings that cannot work.
+    pub fn settings(&self) -> Result<Settings, DeploymentSettingsError> {
+        let settings = Settings {
+            instance_index: self.instance_index,
+            instance_count: self.instance_count.max(1),
+            zone_count: self.zones.len().max(1),
+            home_zone: self.home_zone_id()?,
+            kind_count: self.kinds.len().max(1),
+            classes: self
+                .classes
+                .iter()
+                .enumerate()
+                .map(|(index, class)| self.class_settings(index, class))
+                .collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|tenant| Tenant {
+                    quota_per_second: tenant.quota_per_second.max(0.0),
+                })
+                .collect(),
+            over_quota_weight: self.over_quota_weight.clamp(0.0, 1.0),
+            prices: Prices {
+                cross_zone: self.prices.cross_zone,
+                health_check: self.prices.health_check,
+            },
+            load_reports: match self.load_reports.via {
+                ReportDelivery::Responses => LoadReportSource::Responses,
+                ReportDelivery::HealthChecks => LoadReportSource::HealthChecks,
+                ReportDelivery::None => LoadReportSource::None,
+            },
+            polls_discovery: self.discovery == DiscoveryMode::Polled,
+            max_poll_interval: Duration::from_micros(self.rules.max_poll_interval_us),
+            drain_grace: Duration::from_micros(self.rules.drain_grace_us),
+            health_checks: self.limits.health_checks,
+            cancellation: self.limits.cancellation,
+            hedging: self.limits.hedging,
+            retry_after: self.limits.retry_after,
+            max_retry_after: Duration::from_micros(self.limits.max_retry_after_us),
+            max_attempts: self.limits.max_attempts,
+            connect_timeout: self.connect_timeout(),
+            connection_idle_timeout: Duration::from_micros(self.limits.connection_idle_us),
+            timer_resolution: Duration::from_micros(self.timer_resolution_us),
+            reports_start: self.service.reports_start,
+            progress_interval: Duration::from_micros(self.service.progress_interval_us),
+            slow_start_share: self.rules.slow_start_share,
+            slow_start_duration: Duration::from_micros(self.rules.slow_start_us),
+            overload_multiple: self.rules.overload_multiple,
+            overload_window: Duration::from_micros(self.rules.overload_window_us),
+            max_queued: self.limits.max_queued,
+        };
+        settings.check()?;
+        Ok(settings)
+    }
+
+    fn home_zone_id(&self) -> Result<Option<ZoneId>, DeploymentSettingsError> {
+        let Some(name) = &self.home_zone else {
+            return Ok(None);
+        };
+        let zone = self
+            .zone(Some(name))
+            .ok_or_else(|| DeploymentSettingsError::UnknownZone(name.clone()))?;
+        Ok(Some(zone))
+    }
+
+    fn class_settings(&self, index: usize, class: &ClassSettings) -> Class {
+        let service = &self.service;
+        let service_stretch = service.objective_stretch.get(index).copied();
+        let allowed_zones = class.allowed_zones.as_ref();
+        Class {
+            idempotency: idempotency(class),
+            priority_weight: class.priority_weight,
+            latency_objective: Duration::from_micros(class.latency_objective_us),
+            objective_stretch: class.objective_stretch.or(service_stretch).unwrap_or(0.0),
+            deadline: Duration::from_micros(class.deadline_us),
+            queue_priority: self.queue_priority(index),
+            max_queue_time: class.max_queue_time_us.map(Duration::from_micros),
+            allowed_zones: allowed_zones
+                .map(|names| known_indices(names, &self.zones).map(ZoneId).collect()),
+            allowed_kinds: self.allowed_kinds(class, service.class_kind.get(index).copied()),
+        }
+    }
+
+    fn queue_priority(&self, index: usize) -> u32 {
+        match self.service.queue_order {
+            QueueOrder::Priority => {
+                let priority = self.service.class_priority.get(index).copied().unwrap_or(0);
+                u32::try_from(priority).unwrap_or(0)
+            }
+            QueueOrder::Fifo | QueueOrder::Backfill => 0,
+        }
+    }
+
+    /// The kinds that may serve a class: those that the class names, and the one that the service
+    /// binds it to.
+    fn allowed_kinds(&self, class: &ClassSettings, bound: Option<i64>) -> Option<Vec<KindId>> {
+        let bound = bound.and_then(|kind| usize::try_from(kind).ok());
+        let allowed: Vec<usize> = match (&class.allowed_kinds, bound) {
+            (None, None) => return None,
+            (Some(names), None) => known_indices(names, &self.kinds).collect(),
+            (None, Some(kind)) => vec![kind],
+            (Some(names), Some(kind)) => known_indices(names, &self.kinds)
+                .filter(|&allowed| allowed == kind)
+                .collect(),
+        };
+        Some(
+            allowed
+                .into_iter()
+                .filter(|&kind| kind < self.kinds.len())
+                .map(KindId)
+                .collect(),
+        )
+    }
+}
+
+fn idempotency(class: &ClassSettings) -> Idempotency {
+    match class.repeats {
+        RepeatSemantics::Idempotent => Idempotency::Idempotent,
+        RepeatSemantics::NonIdempotent => Idempotency::NonIdempotent,
+        RepeatSemantics::Keyed => Idempotency::Keyed {
+            // Without a word on the scope, the narrowest one is the safe reading.
+            scope: class
+                .deduplication_scope
+                .unwrap_or(DeduplicationScope::Cell),
+            window: Duration::from_micros(class.deduplication_window_us),
+        },
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/state/request.rs
@@ -0,0 +1,101 @@
+//! Requests that are open, and their attempts.
+
+use super::Endpoint;
+use crate::api::{ClassId, EndpointId, Timestamp, ZoneId};
+use crate::rules::{AttemptRecord, Execution};
+use std::time::Duration;
+
+/// A request until it is over: done, and with no attempt in flight.
+pub(crate) struct Request {
+    pub(crate) class: ClassId,
+    /// When its client first sent it, as far as the remaining time tells.
+    pub(crate) started_at: Timestamp,
+    pub(crate) deadline: Timestamp,
+    pub(crate) slots: f64,
+    pub(crate) memory: f64,
+    /// A hint of its work, as time on a standard core.
+    pub(crate) work_hint: Option<Duration>,
+    /// Value of a response within the objective, its tenant's quota taken into account.
+    pub(crate) priority_weight: f64,
+    pub(crate) affinity_key: Option<u64>,
+    pub(crate) attempts: Vec<Attempt>,
+    /// It has its final response, or its client has gone.
+    pub(crate) is_done: bool,
+    /// Health checks sent for it.
+    pub(crate) health_checks: u32,
+}
+
+impl Request {
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_in_flight)
+    }
+
+    /// Its attempt in flight, if there is exactly one.
+    pub(crate) fn only_attempt_in_flight(&self) -> Option<&Attempt> {
+        let mut in_flight = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.is_in_flight());
+        let first = in_flight.next()?;
+        in_flight.next().is_none().then_some(first)
+    }
+}
+
+/// One send of a request.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    pub(crate) endpoint: EndpointId,
+    /// Zone and cell of the endpoint at the time of the send: they decide who recognises a repeat.
+    pub(crate) zone: ZoneId,
+    cell: Option<u64>,
+    pub(crate) sent_at: Timestamp,
+    pub(crate) execution: Execution,
+    pub(crate) has_started: bool,
+    /// When it reported its start; before that, when it was sent.
+    pub(crate) started_at: Timestamp,
+    pub(crate) last_heard_at: Timestamp,
+    /// It was silent for so long that its slots were released.
+    pub(crate) is_overdue: bool,
+    /// Its start was reported late, or is still missing though it should have been reported.
+    pub(crate) start_is_late: bool,
+    /// How long the connections to its endpoint had been idle when it was sent.
+    pub(crate) connection_idle: Duration,
+}
+
+impl Attempt {
+    pub(super) fn new(
+        now: Timestamp,
+        id: EndpointId,
+        endpoint: &Endpoint,
+        connection_idle: Duration,
+    ) -> Attempt {
+        Attempt {
+            endpoint: id,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            sent_at: now,
+            execution: Execution::InFlight,
+            has_started: false,
+            started_at: now,
+            last_heard_at: now,
+            is_overdue: false,
+            start_is_late: false,
+            connection_idle,
+        }
+    }
+
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.execution == Execution::InFlight
+    }
+
+    /// What the rules look at.
+    pub(crate) fn record(&self) -> AttemptRecord {
+        AttemptRecord {
+            endpoint: self.endpoint,
+            zone: self.zone,
+            cell: self.cell,
+            sent_at: self.sent_at,
+            execution: self.execution,
+        }
+    }
+}
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,217 +1,333 @@
-//! A host for tests: it keeps the clock and collects actions, and models no server.
-#![allow(dead_code)] // each test file uses its own part
+//! A test host for the balancer, and the settings and entries that the tests start from.
+#![allow(dead_code)] // each test file uses a part of it
 
 use pumiceway_decisions::Balancer;
 use pumiceway_decisions::api::*;
+use std::time::Duration;
 
-pub const MS: Micros = 1_000;
-pub const START: Micros = 1_000_000_000;
+/// A millisecond.
+pub const MS: Duration = Duration::from_millis(1);
+/// When every test starts on the clock of its host.
+pub const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
-pub fn class(effect: Effect) -> Class {
-    let (aim, deadline, wait) = (200 * MS, 5_000 * MS, None);
-    Class { effect, worth: 1.0, aim, stretch: 2.0, deadline, priority: 0, wait, zones: None, kinds: None }
+/// A class with a latency objective of 200 ms and a deadline of 5 s.
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        idempotency,
+        priority_weight: 1.0,
+        latency_objective: 200 * MS,
+        objective_stretch: 2.0,
+        deadline: 5_000 * MS,
+        queue_priority: 0,
+        max_queue_time: None,
+        allowed_zones: None,
+        allowed_kinds: None,
+    }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+/// Settings of a single dispatcher with one class, in the first of two zones.
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
-        me: 0,
-        instances: 1,
-        zones: 2,
-        my_zone: Some(ZoneId(0)),
-        kinds: 1,
-        classes: vec![class(effect)],
+        instance_index: 0,
+        instance_count: 1,
+        zone_count: 2,
+        home_zone: Some(ZoneId(0)),
+        kind_count: 1,
+        classes: vec![class(idempotency)],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         prices: Prices::default(),
-        report_via: ReportVia::Answers,
-        list_by_asking: false,
-        ask_within: 10_000 * MS,
+        load_reports: LoadReportSource::Responses,
+        polls_discovery: false,
+        max_poll_interval: 10_000 * MS,
         drain_grace: 500 * MS,
-        probes: true,
-        cancel: true,
-        second_copies: true,
+        health_checks: true,
+        cancellation: true,
+        hedging: true,
         retry_after: true,
         max_retry_after: 2_000 * MS,
         max_attempts: 3,
         connect_timeout: 100 * MS,
-        connection_idle: 15_000 * MS,
-        resolution: 5 * MS,
-        tells_start: false,
-        progress_every: 1_000 * MS,
-        cold_from: 0.3,
-        cold_for: 8_000 * MS,
-        tip_multiple: 3.0,
-        fall_window: 2_000 * MS,
-        held_most: 0,
+        connection_idle_timeout: 15_000 * MS,
+        timer_resolution: 5 * MS,
+        reports_start: false,
+        progress_interval: 1_000 * MS,
+        slow_start_share: 0.3,
+        slow_start_duration: 8_000 * MS,
+        overload_multiple: 3.0,
+        overload_window: 2_000 * MS,
+        max_queued: 0,
     }
 }
 
-pub fn entry(worker: u32, zone: usize) -> Entry<'static> {
-    const IDS: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    Entry {
-        worker: WorkerId(worker),
-        id: IDS[worker as usize],
+/// The same settings for a deployment without health checks and load reports.
+pub fn settings_without_reports(idempotency: Idempotency) -> Settings {
+    Settings {
+        health_checks: false,
+        load_reports: LoadReportSource::None,
+        ..settings(idempotency)
+    }
+}
+
+/// The entry of a ready endpoint that started long ago; the names are in the order of the handles.
+pub fn entry(endpoint: u32, zone: usize) -> EndpointEntry<'static> {
+    const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
+    EndpointEntry {
+        endpoint: EndpointId(endpoint),
+        name: NAMES[endpoint as usize],
         zone: ZoneId(zone),
         kind: KindId(0),
         cell: Some(zone as u64),
-        state: WorkerState::Ready,
-        ready_at: 0,
-        size: 1.0,
-        warm: false,
-        jobs: None,
+        state: EndpointState::Ready,
+        started_at: Timestamp::ORIGIN,
+        relative_size: 1.0,
+        starts_warm: false,
+        max_concurrent: None,
+    }
+}
+
+/// The entry of an endpoint that was removed from the list.
+pub fn gone_entry(endpoint: u32) -> EndpointEntry<'static> {
+    EndpointEntry {
+        state: EndpointState::Gone,
+        ..entry(endpoint, 0)
     }
 }
 
-pub struct Bench {
-    pub b: Balancer,
-    pub now: Micros,
-    next: u64,
+/// A host for one balancer: it keeps the clock and collects actions, and models no endpoint.
+pub struct TestHost {
+    balancer: Balancer,
+    /// The present time on the clock of the host.
+    pub now: Timestamp,
+    next_request: u64,
+    /// The class of each request, by its number.
     classes: Vec<usize>,
-    hints: Vec<Option<Micros>>,
-    /// What a probe asked for by a request reports as free.
-    pub free: f64,
-    /// Work that requests come with.
-    pub hint: Option<Micros>,
-    pub key: Option<u64>,
+    /// The work hint of each request, by its number.
+    work_hints: Vec<Option<Duration>>,
+    /// What the health checks of [`TestHost::submit`] report as free.
+    pub reported_free: f64,
+    /// The work hint of requests that arrive from now on.
+    pub work_hint: Option<Duration>,
+    /// The affinity key of requests that arrive from now on.
+    pub affinity_key: Option<u64>,
+    /// The tenant of requests that arrive from now on.
     pub tenant: Option<TenantId>,
 }
 
-impl Bench {
-    /// A balancer that knows these workers, each with `slots` free.
-    pub fn new(settings: Settings, workers: &[Entry], slots: f64) -> Bench {
-        let mut t = Bench {
-            b: Balancer::new(settings, 7).unwrap(),
+impl TestHost {
+    /// A host whose balancer knows these endpoints, each of which has reported `slots` as free.
+    pub fn new(settings: Settings, endpoints: &[EndpointEntry], slots: f64) -> TestHost {
+        let mut host = TestHost {
+            balancer: Balancer::new(settings, 7).unwrap(),
             now: START,
-            next: 0,
+            next_request: 0,
             classes: vec![],
-            hints: vec![],
-            free: slots,
-            hint: None,
-            key: None,
+            work_hints: vec![],
+            reported_free: slots,
+            work_hint: None,
+            affinity_key: None,
             tenant: None,
         };
-        t.event(Event::List { kind: ListKind::Bootstrap, entries: workers });
-        for w in workers {
-            t.report(w.worker.0, slots);
+        host.update_endpoints(ListKind::Bootstrap, endpoints);
+        for entry in endpoints {
+            host.report_free(entry.endpoint.0, slots);
         }
-        t
+        host
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.b.handle(self.now, event, &mut out);
-        out
+    /// Passes an event to the balancer at the present time.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    pub fn report(&mut self, worker: u32, free: f64) -> Vec<Action> {
-        let report = Some(Report { free_slots: Some(free), free_memory: Some(free), ..Report::default() });
-        self.probed(worker, Status::Ok, report)
+    /// The endpoint list, or a change to it, comes from service discovery.
+    pub fn update_endpoints(&mut self, kind: ListKind, entries: &[EndpointEntry]) -> Vec<Action> {
+        self.handle(Event::EndpointList { kind, entries })
     }
 
-    /// A probe has ended so, a millisecond after it was sent.
-    pub fn probed(&mut self, worker: u32, status: Status, report: Option<Report>) -> Vec<Action> {
-        let (worker, latency) = (WorkerId(worker), MS);
-        self.event(Event::Probed(Probed { worker, status, latency, report }))
+    /// A health check succeeds and reports this much as free, both slots and memory.
+    pub fn report_free(&mut self, endpoint: u32, free: f64) -> Vec<Action> {
+        let report = LoadReport {
+            free_slots: Some(free),
+            free_memory: Some(free),
+            ..LoadReport::default()
+        };
+        self.health_checked(endpoint, Outcome::Success, Some(report))
     }
 
-    /// A request comes, and nobody answers the probes it asks for.
-    pub fn arrives(&mut self, class: usize, slots: f64) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+    /// A health check ends a millisecond after it was sent.
+    pub fn health_checked(
+        &mut self,
+        endpoint: u32,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) -> Vec<Action> {
+        self.handle(Event::HealthChecked(HealthCheckResult {
+            endpoint: EndpointId(endpoint),
+            outcome,
+            latency: MS,
+            report,
+        }))
+    }
+
+    /// A request arrives; the health checks that this brings about stay unanswered.
+    pub fn arrive(&mut self, class: usize, slots: f64) -> (RequestId, Vec<Action>) {
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         self.classes.push(class);
-        self.hints.push(self.hint);
-        let left = 5_000 * MS;
-        let (class, memory, work, key) = (ClassId(class), 0.0, self.hint, self.key);
-        let tenant = self.tenant;
-        let job = Incoming { request, class, left, slots, memory, work, tenant, key };
-        (request, self.event(Event::Request(job)))
-    }
-
-    pub fn ask(&mut self, class: usize, slots: f64) -> (RequestId, Vec<Action>) {
-        let (request, mut all) = self.arrives(class, slots);
-        let mut at = 0;
-        while at < all.len() {
-            if let Action::Probe { worker } = all[at] {
-                all.extend(self.report(worker.0, self.free));
+        self.work_hints.push(self.work_hint);
+        let actions = self.handle(Event::RequestArrived(IncomingRequest {
+            request,
+            class: ClassId(class),
+            remaining: 5_000 * MS,
+            slots,
+            memory: 0.0,
+            work_hint: self.work_hint,
+            tenant: self.tenant,
+            affinity_key: self.affinity_key,
+        }));
+        (request, actions)
+    }
+
+    /// A request arrives; the health checks that this brings about report `reported_free`.
+    pub fn submit(&mut self, class: usize, slots: f64) -> (RequestId, Vec<Action>) {
+        let (request, mut actions) = self.arrive(class, slots);
+        let mut position = 0;
+        while position < actions.len() {
+            if let Action::CheckHealth { endpoint } = actions[position] {
+                actions.extend(self.report_free(endpoint.0, self.reported_free));
             }
-            at += 1;
+            position += 1;
         }
-        (request, all)
+        (request, actions)
     }
 
-    /// Sends `n` one-slot requests and tells where each went.
-    pub fn spread(&mut self, n: usize) -> Vec<Option<u32>> {
-        (0..n).map(|_| sent(&self.ask(0, 1.0).1)).collect()
+    /// Submits `count` requests of class 0 that take one slot each; returns where each was sent.
+    pub fn submit_many(&mut self, count: usize) -> Vec<Option<u32>> {
+        (0..count)
+            .map(|_| sent_to(&self.submit(0, 1.0).1))
+            .collect()
     }
 
-    pub fn outcome(&mut self, r: RequestId, attempt: usize, worker: u32, status: Status) -> Vec<Action> {
-        self.event(Event::Outcome(Outcome {
-            request: r,
-            attempt,
-            worker: WorkerId(worker),
-            status,
+    /// An attempt ends 50 ms after it was sent; a success is the final response of its request.
+    pub fn attempt_finished(
+        &mut self,
+        request: RequestId,
+        attempt_index: usize,
+        endpoint: u32,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptFinished(AttemptResult {
+            request,
+            attempt_index,
+            endpoint: EndpointId(endpoint),
+            outcome,
             latency: 50 * MS,
-            closed: status == Status::Ok,
+            request_done: outcome == Outcome::Success,
             report: None,
         }))
     }
 
-    /// The class that a request was asked with.
-    pub fn class_of(&self, r: RequestId) -> usize {
-        self.classes[r.0 as usize]
+    /// The first attempt of a request succeeds, with this latency.
+    pub fn attempt_succeeded(
+        &mut self,
+        request: RequestId,
+        endpoint: u32,
+        latency: Duration,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptFinished(AttemptResult {
+            request,
+            attempt_index: 0,
+            endpoint: EndpointId(endpoint),
+            outcome: Outcome::Success,
+            latency,
+            request_done: true,
+            report: None,
+        }))
     }
 
-    /// The work that a request was asked with.
-    pub fn hint_of(&self, r: RequestId) -> Option<Micros> {
-        self.hints[r.0 as usize]
+    /// An attempt reports that its request has started.
+    pub fn attempt_started(
+        &mut self,
+        request: RequestId,
+        attempt_index: usize,
+        endpoint: u32,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptProgressed(AttemptProgress {
+            request,
+            attempt_index,
+            endpoint: EndpointId(endpoint),
+            progress: Progress::Started,
+        }))
     }
 
-    /// The first attempt of a request was served in this time.
-    pub fn served(&mut self, r: RequestId, worker: u32, latency: Micros) -> Vec<Action> {
-        let (worker, status, report) = (WorkerId(worker), Status::Ok, None);
-        self.event(Event::Outcome(Outcome {
-            request: r,
-            attempt: 0,
-            worker,
-            status,
-            latency,
-            closed: true,
-            report,
-        }))
+    /// The class with which a request arrived.
+    pub fn class_of(&self, request: RequestId) -> usize {
+        self.classes[request.0 as usize]
+    }
+
+    /// The work hint with which a request arrived.
+    pub fn work_hint_of(&self, request: RequestId) -> Option<Duration> {
+        self.work_hints[request.0 as usize]
     }
 
-    /// Lets time pass in steps of one wake-up; answers probes of the workers in `alive`.
-    pub fn pass(&mut self, span: Micros, alive: &[u32]) -> Vec<Action> {
-        let (end, mut all) = (self.now + span, Vec::new());
+    /// Advances the clock in steps of 20 ms and fires the timer at each.
+    ///
+    /// Health checks of the endpoints in `responsive` succeed without a load report; the others
+    /// time out.
+    pub fn advance(&mut self, span: Duration, responsive: &[u32]) -> Vec<Action> {
+        let end = self.now + span;
+        let mut all_actions = Vec::new();
         while self.now < end {
             self.now += 20 * MS;
-            let mut new = self.event(Event::Wake);
-            let mut at = 0;
-            while at < new.len() {
-                if let Action::Probe { worker } = new[at] {
-                    let status = if alive.contains(&worker.0) { Status::Ok } else { Status::Timeout };
-                    let report = None;
-                    new.extend(self.event(Event::Probed(Probed { worker, status, report, latency: MS })));
+            let mut actions = self.handle(Event::TimerFired);
+            let mut position = 0;
+            while position < actions.len() {
+                if let Action::CheckHealth { endpoint } = actions[position] {
+                    let outcome = if responsive.contains(&endpoint.0) {
+                        Outcome::Success
+                    } else {
+                        Outcome::Timeout
+                    };
+                    actions.extend(self.health_checked(endpoint.0, outcome, None));
                 }
-                at += 1;
+                position += 1;
             }
-            all.extend(new);
+            all_actions.extend(actions);
         }
-        all
+        all_actions
+    }
+}
+
+/// An attempt of a request at an endpoint, without a timeout of its own.
+pub fn send_action(request: RequestId, endpoint: u32) -> Action {
+    Action::Send {
+        request,
+        endpoint: EndpointId(endpoint),
+        timeout: None,
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<u32> {
-    actions.iter().find_map(|a| match a {
-        Action::Send { worker, .. } => Some(worker.0),
+/// The endpoint of the first attempt among these actions.
+pub fn sent_to(actions: &[Action]) -> Option<u32> {
+    actions.iter().find_map(|action| match action {
+        Action::Send { endpoint, .. } => Some(endpoint.0),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+/// Whether the request was shed.
+pub fn is_shed(actions: &[Action], id: RequestId) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Shed { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
+/// Whether the request was failed.
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { request } if *request == id))
 }
