--- a/crates/decisions/tests/deployments.rs
+++ b/crates/decisions/tests/deployments.rs
@@ -1,241 +1,354 @@
-//! Traits that one deployment has and another has not: jobs that are suspended, a worker to a zone, weights that fall
-//! with load, memory beside slots, keyed jobs.
+//! Traits of single deployments: suspended requests, zones of one endpoint, weights that fall with
+//! load, memory beside slots, and idempotency keys.
 
 mod common;
 use common::*;
 use pumiceway_decisions::api::*;
-use pumiceway_decisions::settings::Conf;
+use pumiceway_decisions::settings::DeploymentSettings;
+use std::time::Duration;
 
-const KEYED: Effect = Effect::Keyed { group: Group::Zone, window: 7_500 * MS };
+/// Every zone deduplicates on its own.
+const KEYED: Idempotency = Idempotency::Keyed {
+    scope: DeduplicationScope::Zone,
+    window: Duration::from_millis(7_500),
+};
 
-/// Three zones, starts told but no progress, jobs of 15 s at most.
-fn site(effect: Effect) -> Settings {
-    let mut s = Settings { zones: 3, tells_start: true, progress_every: 0, ..settings(effect) };
-    s.classes[0].deadline = 15_000 * MS;
-    s
+/// Three zones; endpoints report starts but no progress; a deadline of 15 s.
+fn zoned_settings(idempotency: Idempotency) -> Settings {
+    let mut settings = Settings {
+        zone_count: 3,
+        reports_start: true,
+        progress_interval: Duration::ZERO,
+        ..settings(idempotency)
+    };
+    settings.classes[0].deadline = 15_000 * MS;
+    settings
 }
 
-/// What a worker tells with these slots and this memory free.
-fn holds(slots: f64, memory: f64) -> Option<Report> {
-    Some(Report { free_slots: Some(slots), free_memory: Some(memory), ..Report::default() })
+/// The load report of an endpoint with these slots and this memory free.
+fn load_report(slots: f64, memory: f64) -> LoadReport {
+    LoadReport {
+        free_slots: Some(slots),
+        free_memory: Some(memory),
+        ..LoadReport::default()
+    }
 }
 
-/// A job of one slot comes, and workers that are asked tell what they have free.
-fn comes(t: &mut Bench, n: u64, memory: f64, free: &[(f64, f64)]) -> (RequestId, Vec<Action>) {
-    let request = RequestId(1_000 + n);
-    let (class, left, work, tenant, key) = (ClassId(0), 15_000 * MS, None, None, None);
-    let job = Incoming { request, class, left, slots: 1.0, memory, work, tenant, key };
-    let mut all = t.event(Event::Request(job));
-    let mut at = 0;
-    while at < all.len() {
-        if let Action::Probe { worker } = all[at] {
-            let (slots, memory) = free[worker.0 as usize];
-            all.extend(t.probed(worker.0, Status::Ok, holds(slots, memory)));
+/// A request that takes one slot and this memory arrives. Health checks get the load report of
+/// their endpoint from `reports`.
+fn submit(
+    host: &mut TestHost,
+    number: u64,
+    memory: f64,
+    reports: &[LoadReport],
+) -> (RequestId, Vec<Action>) {
+    let request = RequestId(1_000 + number);
+    let mut actions = host.handle(Event::RequestArrived(IncomingRequest {
+        request,
+        class: ClassId(0),
+        remaining: 15_000 * MS,
+        slots: 1.0,
+        memory,
+        work_hint: None,
+        tenant: None,
+        affinity_key: None,
+    }));
+    let mut position = 0;
+    while position < actions.len() {
+        if let Action::CheckHealth { endpoint } = actions[position] {
+            let report = reports[endpoint.0 as usize];
+            actions.extend(host.health_checked(endpoint.0, Outcome::Success, Some(report)));
         }
-        at += 1;
+        position += 1;
     }
-    (request, all)
+    (request, actions)
 }
 
-fn started(t: &mut Bench, request: RequestId, worker: u32) -> Vec<Action> {
-    let (worker, note) = (WorkerId(worker), Note::Started);
-    t.event(Event::Note(Progress { request, attempt: 0, worker, note }))
+/// Each of the first endpoints reports this many slots as free.
+fn report_all_free(host: &mut TestHost, endpoint_count: u32, slots: f64) -> Vec<Action> {
+    (0..endpoint_count)
+        .flat_map(|endpoint| host.report_free(endpoint, slots))
+        .collect()
 }
 
-/// Tells that every worker is as it was.
-fn all_free(t: &mut Bench, workers: u32, slots: f64) -> Vec<Action> {
-    (0..workers).flat_map(|w| t.report(w, slots)).collect()
-}
-
-// Guards against a worker that is given up, or a copy of its jobs sent elsewhere, as a job there was suspended for one
-// of higher priority: nothing tells of that, and it takes four times as long.
+/// An endpoint may suspend a request for one of higher priority without reporting it; the request
+/// then takes four times as long.
 #[test]
-fn a_suspended_job_raises_no_alarm() {
-    let mut t = Bench::new(site(Effect::Safe), &[entry(0, 0), entry(1, 0), entry(2, 1)], 3.0);
-    let free = [(3.0, 3.0); 3];
-    let run = 300 * MS;
-    // What the class takes is known before one of them takes longer.
-    for n in 0..120 {
-        let (id, out) = comes(&mut t, n, 0.5, &free);
-        let worker = sent(&out).expect("there is room");
-        started(&mut t, id, worker);
-        t.now += run;
-        t.served(id, worker, run);
+fn suspended_request_ejects_no_endpoint_and_is_not_hedged() {
+    let mut host = TestHost::new(
+        zoned_settings(Idempotency::Idempotent),
+        &[entry(0, 0), entry(1, 0), entry(2, 1)],
+        3.0,
+    );
+    let reports = [load_report(3.0, 3.0); 3];
+    let run_time = 300 * MS;
+    // How long the class takes is known before one of its requests takes longer.
+    for number in 0..120 {
+        let (request, actions) = submit(&mut host, number, 0.5, &reports);
+        let endpoint = sent_to(&actions).expect("an endpoint has capacity");
+        host.attempt_started(request, 0, endpoint);
+        host.now += run_time;
+        host.attempt_succeeded(request, endpoint, run_time);
     }
-    let jobs: Vec<_> = (200..203)
-        .map(|n| {
-            let (id, out) = comes(&mut t, n, 0.5, &free);
-            let worker = sent(&out).expect("there is room");
-            started(&mut t, id, worker);
-            (id, worker)
+    let in_flight: Vec<_> = (200..203)
+        .map(|number| {
+            let (request, actions) = submit(&mut host, number, 0.5, &reports);
+            let endpoint = sent_to(&actions).expect("an endpoint has capacity");
+            host.attempt_started(request, 0, endpoint);
+            (request, endpoint)
         })
         .collect();
-    let (suspended, at) = jobs[0];
-    let quiet = |out: &[Action]| {
-        out.iter().all(|a| matches!(a, Action::Probe { .. } | Action::Wake { .. } | Action::Log(_)))
+    let (suspended, endpoint_of_suspended) = in_flight[0];
+    let only_routine = |actions: &[Action]| {
+        actions.iter().all(|action| {
+            matches!(
+                action,
+                Action::CheckHealth { .. } | Action::SetTimer { .. } | Action::Log(_)
+            )
+        })
     };
-    let out = t.pass(run, &[0, 1, 2]);
-    assert!(quiet(&out), "{out:?}");
-    for &(id, worker) in &jobs[1..] {
-        let out = t.served(id, worker, run);
-        assert!(quiet(&out), "{out:?}");
+    let actions = host.advance(run_time, &[0, 1, 2]);
+    assert!(only_routine(&actions), "{actions:?}");
+    for &(request, endpoint) in &in_flight[1..] {
+        let actions = host.attempt_succeeded(request, endpoint, run_time);
+        assert!(only_routine(&actions), "{actions:?}");
     }
-    let out = t.pass(3 * run, &[0, 1, 2]);
-    assert!(quiet(&out), "{out:?}");
-    all_free(&mut t, 3, 2.0);
-    let (next, out) = comes(&mut t, 300, 0.5, &[(2.0, 2.0); 3]);
-    assert_eq!(sent(&out), Some(at), "jobs still go where it is");
-    t.served(next, at, run);
-    let out = t.served(suspended, at, 4 * run);
-    assert!(quiet(&out), "{out:?}");
+    let actions = host.advance(3 * run_time, &[0, 1, 2]);
+    assert!(only_routine(&actions), "{actions:?}");
+    report_all_free(&mut host, 3, 2.0);
+    let (next, actions) = submit(&mut host, 300, 0.5, &[load_report(2.0, 2.0); 3]);
+    assert_eq!(
+        sent_to(&actions),
+        Some(endpoint_of_suspended),
+        "requests still go to its endpoint"
+    );
+    host.attempt_succeeded(next, endpoint_of_suspended, run_time);
+    let actions = host.attempt_succeeded(suspended, endpoint_of_suspended, 4 * run_time);
+    assert!(only_routine(&actions), "{actions:?}");
 }
 
-// Guards against a job that stays at home while its only worker is full, or is lost with it, and against one that
-// keeps away when that worker is back.
+/// Requests go to other zones for as long, and return afterwards.
 #[test]
-fn a_zone_of_one_worker_is_left_when_it_is_full_or_lost_and_come_back_to() {
-    let mut t = Bench::new(site(Effect::Unsafe), &[entry(0, 1), entry(1, 2), entry(2, 0)], 3.0);
-    let free = [(3.0, 3.0); 3];
-    let went: Vec<_> = (0..5).map(|n| sent(&comes(&mut t, n, 0.5, &free).1)).collect();
-    assert_eq!(went[..3], [Some(2); 3], "home first");
-    assert!(went[3..].iter().all(|w| w.is_some_and(|w| w != 2)), "crossing when home is full: {went:?}");
-    for n in 0..3 {
-        t.served(RequestId(1_000 + n), 2, 50 * MS);
+fn zone_with_one_endpoint_is_left_while_that_is_full_or_lost() {
+    let mut host = TestHost::new(
+        zoned_settings(Idempotency::NonIdempotent),
+        &[entry(0, 1), entry(1, 2), entry(2, 0)],
+        3.0,
+    );
+    let reports = [load_report(3.0, 3.0); 3];
+    let sent: Vec<_> = (0..5)
+        .map(|number| sent_to(&submit(&mut host, number, 0.5, &reports).1))
+        .collect();
+    assert_eq!(sent[..3], [Some(2); 3], "home zone first");
+    assert!(
+        sent[3..]
+            .iter()
+            .all(|endpoint| endpoint.is_some_and(|endpoint| endpoint != 2)),
+        "other zones when the home zone is full: {sent:?}"
+    );
+    for number in 0..3 {
+        host.attempt_succeeded(RequestId(1_000 + number), 2, 50 * MS);
     }
-    let (id, out) = comes(&mut t, 10, 0.5, &free);
-    assert_eq!(sent(&out), Some(2), "home again");
-    let mut out = t.outcome(id, 0, 2, Status::ConnectFailed);
-    out.extend(t.probed(2, Status::ConnectFailed, None));
-    out.extend(all_free(&mut t, 2, 3.0));
-    assert!(sent(&out).is_some_and(|w| w != 2), "what never reached a lost home goes elsewhere: {out:?}");
-    let out = comes(&mut t, 11, 0.5, &free).1;
-    assert!(sent(&out).is_some_and(|w| w != 2), "and so does the next: {out:?}");
-    // Jobs that may run once only come back last, when none that may be repeated has tried it for 10 s.
-    t.pass(10_000 * MS, &[0, 1, 2]);
-    all_free(&mut t, 3, 3.0);
-    t.pass(11_000 * MS, &[0, 1, 2]);
-    all_free(&mut t, 3, 3.0);
-    let out = comes(&mut t, 12, 0.5, &free).1;
-    assert_eq!(sent(&out), Some(2), "it is back");
+    let (request, actions) = submit(&mut host, 10, 0.5, &reports);
+    assert_eq!(sent_to(&actions), Some(2), "the home zone again");
+    let mut actions = host.attempt_finished(request, 0, 2, Outcome::ConnectFailed);
+    actions.extend(host.health_checked(2, Outcome::ConnectFailed, None));
+    actions.extend(report_all_free(&mut host, 2, 3.0));
+    assert!(
+        sent_to(&actions).is_some_and(|endpoint| endpoint != 2),
+        "what never reached the lost zone is sent elsewhere: {actions:?}"
+    );
+    let actions = submit(&mut host, 11, 0.5, &reports).1;
+    assert!(
+        sent_to(&actions).is_some_and(|endpoint| endpoint != 2),
+        "and so is the next request: {actions:?}"
+    );
+    // Non-idempotent requests return last, when no other request has tried the endpoint for 10 s.
+    host.advance(10_000 * MS, &[0, 1, 2]);
+    report_all_free(&mut host, 3, 3.0);
+    host.advance(11_000 * MS, &[0, 1, 2]);
+    report_all_free(&mut host, 3, 3.0);
+    let actions = submit(&mut host, 12, 0.5, &reports).1;
+    assert_eq!(sent_to(&actions), Some(2), "the endpoint is used again");
 }
 
-// Guards against weights that fall with load: taken for sizes they make whoever is busy look like a slow machine, and
-// the order of workers changes with every line of the list.
+/// Weights that fall with load are not relative sizes: taken for such they would make a busy
+/// endpoint look like a slow machine.
 #[test]
-fn weights_that_change_at_every_line_move_no_placement() {
-    let conf: Conf = serde_json::from_str(
-        r#"{"lanes":[{"name":"l","aim-us":200000,"deadline-us":5000000,"points":1,"semantics":"read_like"}],
+fn weights_that_change_with_every_update_do_not_affect_selection() {
+    let document: DeploymentSettings = serde_json::from_str(
+        r#"{"lanes":[{"name":"l","aim-us":200000,"deadline-us":5000000,"points":1,
+              "semantics":"read_like"}],
             "limits":{"most-tries":3},"rules":{},"weights":"live"}"#,
     )
     .unwrap();
-    let places = |weight: fn(u32, u32) -> f64| -> Vec<_> {
-        let lines = |round: u32| {
-            let line = |w: u32| Entry {
-                kind: KindId(w as usize % 2),
-                size: conf.size(Some(weight(w, round))),
-                ..entry(w, w as usize / 2)
+    let endpoints_with = |weight: fn(u32, u32) -> f64| -> Vec<_> {
+        let entries = |round: u32| {
+            let entry_of = |endpoint: u32| EndpointEntry {
+                kind: KindId(endpoint as usize % 2),
+                relative_size: document.relative_size(Some(weight(endpoint, round))),
+                ..entry(endpoint, endpoint as usize / 2)
             };
-            (0..6).map(line).collect::<Vec<_>>()
+            (0..6).map(entry_of).collect::<Vec<_>>()
+        };
+        let settings = Settings {
+            kind_count: 2,
+            ..zoned_settings(Idempotency::Idempotent)
         };
-        let settings = Settings { kinds: 2, ..site(Effect::Safe) };
-        let mut t = Bench::new(settings, &lines(0), 4.0);
-        let free = [(4.0, 4.0); 6];
+        let mut host = TestHost::new(settings, &entries(0), 4.0);
+        let reports = [load_report(4.0, 4.0); 6];
         (0..40)
-            .map(|n| {
-                t.event(Event::List { kind: ListKind::Changes, entries: &lines(n) });
-                let (id, out) = comes(&mut t, u64::from(n), 0.5, &free);
-                let worker = sent(&out).expect("there is room");
-                if n % 4 != 3 {
-                    t.served(id, worker, 50 * MS);
+            .map(|round| {
+                host.update_endpoints(ListKind::Delta, &entries(round));
+                let (request, actions) = submit(&mut host, u64::from(round), 0.5, &reports);
+                let endpoint = sent_to(&actions).expect("an endpoint has capacity");
+                if round % 4 != 3 {
+                    host.attempt_succeeded(request, endpoint, 50 * MS);
                 }
-                t.now += 20 * MS;
-                all_free(&mut t, 6, 4.0);
-                worker
+                host.now += 20 * MS;
+                report_all_free(&mut host, 6, 4.0);
+                endpoint
             })
             .collect()
     };
-    let steady = places(|_, _| 1.0);
-    let live = places(|w, round| if (w + round) % 2 == 0 { 0.1 } else { 1.0 + f64::from(round % 7) });
-    assert_eq!(steady, live);
+    let constant = endpoints_with(|_, _| 1.0);
+    let live = endpoints_with(|endpoint, round| {
+        if (endpoint + round) % 2 == 0 {
+            0.1
+        } else {
+            1.0 + f64::from(round % 7)
+        }
+    });
+    assert_eq!(constant, live);
 }
 
-// Guards against a worker of whose size nobody tells counting as a slow machine beside one whose size is told.
+/// It does not count as a slow machine beside one whose relative size is known.
 #[test]
-fn a_worker_of_unknown_size_is_not_put_last() {
-    let known = Entry { kind: KindId(1), size: 0.25, ..entry(1, 0) };
-    let settings = Settings { kinds: 2, ..site(Effect::Safe) };
-    let mut t = Bench::new(settings, &[Entry { size: 0.0, ..entry(0, 0) }, known], 4.0);
-    assert_eq!(sent(&comes(&mut t, 0, 0.5, &[(4.0, 4.0); 2]).1), Some(0));
+fn endpoint_of_unknown_relative_size_does_not_come_last() {
+    let known = EndpointEntry {
+        kind: KindId(1),
+        relative_size: 0.25,
+        ..entry(1, 0)
+    };
+    let settings = Settings {
+        kind_count: 2,
+        ..zoned_settings(Idempotency::Idempotent)
+    };
+    let mut host = TestHost::new(
+        settings,
+        &[
+            EndpointEntry {
+                relative_size: 0.0,
+                ..entry(0, 0)
+            },
+            known,
+        ],
+        4.0,
+    );
+    assert_eq!(
+        sent_to(&submit(&mut host, 0, 0.5, &[load_report(4.0, 4.0); 2]).1),
+        Some(0)
+    );
 }
 
-// Guards against a job that goes where a slot is free, and waits there for memory as long as another one runs.
+/// At an endpoint without free memory it would wait for as long as another request runs.
 #[test]
-fn a_job_that_finds_slots_but_no_memory_goes_elsewhere_or_is_held() {
-    let mut t = Bench::new(site(Effect::Safe), &[entry(0, 0), entry(1, 0)], 2.0);
-    for n in 0..120 {
-        let (id, out) = comes(&mut t, n, 0.5, &[(2.0, 2.0); 2]);
-        t.now += 1_000 * MS;
-        t.served(id, sent(&out).expect("there is room"), 1_000 * MS);
+fn request_that_finds_slots_but_no_memory_is_sent_elsewhere_or_queued() {
+    let mut host = TestHost::new(
+        zoned_settings(Idempotency::Idempotent),
+        &[entry(0, 0), entry(1, 0)],
+        2.0,
+    );
+    for number in 0..120 {
+        let (request, actions) = submit(&mut host, number, 0.5, &[load_report(2.0, 2.0); 2]);
+        host.now += 1_000 * MS;
+        host.attempt_succeeded(
+            request,
+            sent_to(&actions).expect("an endpoint has capacity"),
+            1_000 * MS,
+        );
     }
-    let tell = |t: &mut Bench, memory: [f64; 2]| {
-        t.now += 5_000 * MS;
-        t.probed(0, Status::Ok, holds(2.0, memory[0]));
-        t.probed(1, Status::Ok, holds(2.0, memory[1]));
+    let report_memory = |host: &mut TestHost, memory: [f64; 2]| {
+        host.now += 5_000 * MS;
+        host.health_checked(0, Outcome::Success, Some(load_report(2.0, memory[0])));
+        host.health_checked(1, Outcome::Success, Some(load_report(2.0, memory[1])));
     };
-    tell(&mut t, [0.0, 2.0]);
-    let (id, out) = comes(&mut t, 200, 0.8, &[(2.0, 0.0), (2.0, 2.0)]);
-    assert_eq!(sent(&out), Some(1), "{out:?}");
-    t.served(id, 1, 1_000 * MS);
-    tell(&mut t, [0.0, 0.0]);
-    let (id, out) = comes(&mut t, 201, 0.8, &[(2.0, 0.0); 2]);
-    assert!(sent(&out).is_none() && !refused(&out, id), "{out:?}");
-    tell(&mut t, [0.0, 2.0]);
-    let (_, out) = comes(&mut t, 202, 0.8, &[(2.0, 0.0), (2.0, 2.0)]);
-    assert_eq!(sent(&out), Some(1), "{out:?}");
+    report_memory(&mut host, [0.0, 2.0]);
+    let (request, actions) = submit(
+        &mut host,
+        200,
+        0.8,
+        &[load_report(2.0, 0.0), load_report(2.0, 2.0)],
+    );
+    assert_eq!(sent_to(&actions), Some(1), "{actions:?}");
+    host.attempt_succeeded(request, 1, 1_000 * MS);
+    report_memory(&mut host, [0.0, 0.0]);
+    let (request, actions) = submit(&mut host, 201, 0.8, &[load_report(2.0, 0.0); 2]);
+    assert!(
+        sent_to(&actions).is_none() && !is_shed(&actions, request),
+        "{actions:?}"
+    );
+    report_memory(&mut host, [0.0, 2.0]);
+    let (_, actions) = submit(
+        &mut host,
+        202,
+        0.8,
+        &[load_report(2.0, 0.0), load_report(2.0, 2.0)],
+    );
+    assert_eq!(sent_to(&actions), Some(1), "{actions:?}");
 }
 
-// Guards against a keyed job that runs twice: another data centre knows nothing of its key, and after its window
-// nobody does; and against a client that is told it may ask again.
+/// Other zones do not know its key, and after the window no endpoint does; it is failed then, and
+/// not shed, as the client must not retry it either.
 #[test]
-fn a_keyed_repeat_stays_in_its_data_centre_and_its_window() {
-    let workers = [entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)];
-    let free = [(3.0, 3.0); 4];
-    let bench = || {
-        let mut settings = site(KEYED);
-        settings.classes[0].aim = 12_000 * MS;
-        let mut t = Bench::new(settings, &workers, 3.0);
-        let (id, out) = comes(&mut t, 0, 0.5, &free);
-        let first = sent(&out).expect("there is room");
-        started(&mut t, id, first);
-        (t, id, first)
+fn retry_of_a_keyed_request_stays_in_its_zone_and_its_window() {
+    let endpoints = [entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)];
+    let reports = [load_report(3.0, 3.0); 4];
+    let send_first_attempt = || {
+        let mut settings = zoned_settings(KEYED);
+        settings.classes[0].latency_objective = 12_000 * MS;
+        let mut host = TestHost::new(settings, &endpoints, 3.0);
+        let (request, actions) = submit(&mut host, 0, 0.5, &reports);
+        let first = sent_to(&actions).expect("an endpoint has capacity");
+        host.attempt_started(request, 0, first);
+        (host, request, first)
     };
-    // A second worker of the data centre gets it again.
-    let (mut t, id, first) = bench();
-    t.now += 7_000 * MS;
-    let mut out = t.outcome(id, 0, first, Status::Reset);
-    out.extend(all_free(&mut t, 4, 3.0));
-    assert_eq!(sent(&out), Some(1 - first), "{out:?}");
-    // It has not run where it never came: then any data centre may have it, as all of this one are lost.
-    let (mut t, id, first) = bench();
-    let mut out = t.outcome(id, 0, first, Status::ConnectFailed);
-    out.extend(t.probed(first, Status::ConnectFailed, None));
-    let second = sent(&out).expect("the other one at home");
-    let mut out = t.outcome(id, 1, second, Status::ConnectFailed);
-    out.extend(t.probed(second, Status::ConnectFailed, None));
-    assert!(sent(&out).is_some_and(|w| w > 1), "{out:?}");
-    // Where it may have run, no other data centre may, though the workers of this one are lost.
-    let (mut t, id, first) = bench();
-    t.pass(1_000 * MS, &[0, 1, 2, 3]);
-    let mut out = t.probed(1 - first, Status::ConnectFailed, None);
-    out.extend(t.outcome(id, 0, first, Status::Reset));
-    out.extend(t.probed(first, Status::ConnectFailed, None));
-    out.extend(t.pass(14_500 * MS, &[2, 3]));
-    assert!(sent(&out).is_none() && failed(&out, id) && !refused(&out, id), "{out:?}");
-    // Nor any at all after the window.
-    let (mut t, id, first) = bench();
-    t.now += 7_600 * MS;
-    let mut out = t.outcome(id, 0, first, Status::Reset);
-    out.extend(all_free(&mut t, 4, 3.0));
-    out.extend(t.pass(7_500 * MS, &[0, 1, 2, 3]));
-    assert!(sent(&out).is_none() && failed(&out, id) && !refused(&out, id), "{out:?}");
+    // A second endpoint of the zone gets the retry.
+    let (mut host, request, first) = send_first_attempt();
+    host.now += 7_000 * MS;
+    let mut actions = host.attempt_finished(request, 0, first, Outcome::Reset);
+    actions.extend(report_all_free(&mut host, 4, 3.0));
+    assert_eq!(sent_to(&actions), Some(1 - first), "{actions:?}");
+    // It has not run where it never arrived: any zone may get it then, as this one is lost.
+    let (mut host, request, first) = send_first_attempt();
+    let mut actions = host.attempt_finished(request, 0, first, Outcome::ConnectFailed);
+    actions.extend(host.health_checked(first, Outcome::ConnectFailed, None));
+    let second = sent_to(&actions).expect("the other endpoint of the home zone");
+    let mut actions = host.attempt_finished(request, 1, second, Outcome::ConnectFailed);
+    actions.extend(host.health_checked(second, Outcome::ConnectFailed, None));
+    assert!(
+        sent_to(&actions).is_some_and(|endpoint| endpoint > 1),
+        "{actions:?}"
+    );
+    // Where it may have run, no other zone may get it, though the endpoints of this one are lost.
+    let (mut host, request, first) = send_first_attempt();
+    host.advance(1_000 * MS, &[0, 1, 2, 3]);
+    let mut actions = host.health_checked(1 - first, Outcome::ConnectFailed, None);
+    actions.extend(host.attempt_finished(request, 0, first, Outcome::Reset));
+    actions.extend(host.health_checked(first, Outcome::ConnectFailed, None));
+    actions.extend(host.advance(14_500 * MS, &[2, 3]));
+    assert!(
+        sent_to(&actions).is_none() && is_failed(&actions, request) && !is_shed(&actions, request),
+        "{actions:?}"
+    );
+    // After the window, no endpoint at all may get it.
+    let (mut host, request, first) = send_first_attempt();
+    host.now += 7_600 * MS;
+    let mut actions = host.attempt_finished(request, 0, first, Outcome::Reset);
+    actions.extend(report_all_free(&mut host, 4, 3.0));
+    actions.extend(host.advance(7_500 * MS, &[0, 1, 2, 3]));
+    assert!(
+        sent_to(&actions).is_none() && is_failed(&actions, request) && !is_shed(&actions, request),
+        "{actions:?}"
+    );
 }
--- a/crates/logging/src/flood.rs
+++ b/crates/logging/src/flood.rs
@@ -22,12 +22,19 @@
 impl Quota {
     /// A full quota of this many lines a second, and so many at once.
     pub const fn new(per_second: f64, burst: f64) -> Quota {
-        Quota { per_second, burst, tokens: burst, at: None }
+        Quota {
+            per_second,
+            burst,
+            tokens: burst,
+            at: None,
+        }
     }
 
     /// Whether a line may be written now.
     pub fn take(&mut self, now: Instant) -> bool {
-        let passed = self.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        let passed = self
+            .at
+            .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         self.at = Some(now);
         self.tokens = (self.tokens + passed * self.per_second).min(self.burst);
         let admitted = self.tokens >= 1.0;
@@ -38,8 +45,8 @@
     }
 }
 
-/// Admits only so many lines. Warnings and errors have a quota of their own, so that no flood of lesser lines takes
-/// their place.
+/// Admits only so many lines. Warnings and errors have a quota of their own, so that no flood of
+/// lesser lines takes their place.
 #[derive(Clone)]
 pub struct Flood(Arc<Inner>);
 
@@ -58,7 +65,9 @@
 
 impl fmt::Debug for Flood {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Flood").field("left_out", &self.0.left_out).finish_non_exhaustive()
+        f.debug_struct("Flood")
+            .field("left_out", &self.0.left_out)
+            .finish_non_exhaustive()
     }
 }
 
@@ -66,12 +75,23 @@
     /// This many lines a second, and so many at once, of either sort.
     pub fn new(per_second: f64, burst: f64) -> Flood {
         let quota = || Mutex::new(Quota::new(per_second, burst));
-        Flood(Arc::new(Inner { serious: quota(), others: quota(), left_out: AtomicU64::new(0) }))
+        Flood(Arc::new(Inner {
+            serious: quota(),
+            others: quota(),
+            left_out: AtomicU64::new(0),
+        }))
     }
 
     fn admits(&self, level: Level, now: Instant) -> bool {
-        let quota = if level <= Level::WARN { &self.0.serious } else { &self.0.others };
-        let admitted = quota.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take(now);
+        let quota = if level <= Level::WARN {
+            &self.0.serious
+        } else {
+            &self.0.others
+        };
+        let admitted = quota
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .take(now);
         if !admitted {
             self.0.left_out.fetch_add(1, Ordering::Relaxed);
         }
@@ -79,7 +99,11 @@
     }
 
     pub(crate) fn writer(&self, format: Format, lines: Lines) -> Writer {
-        Writer { flood: self.clone(), format, lines }
+        Writer {
+            flood: self.clone(),
+            format,
+            lines,
+        }
     }
 }
 
@@ -113,7 +137,11 @@
 
 impl Write for Line<'_> {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let Writer { flood, format, lines } = self.0;
+        let Writer {
+            flood,
+            format,
+            lines,
+        } = self.0;
         let left_out = flood.0.left_out.swap(0, Ordering::Relaxed) + lines.take_dropped();
         if left_out == 0 {
             lines.put(line.to_vec());
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,9 +1,9 @@
 //! The log of the program, on `tracing`.
 //!
-//! Lines go out as text or as JSON, to standard error or to files that rotate. Three bounds hold whatever happens: a
-//! fault that repeats writes only so many lines a second ([`Flood`]), a reader that stands still never holds the
-//! program up ([`Lines`]), and files hold only so many bytes together ([`Files`]). What was left out is counted, and
-//! the next line says how much.
+//! Lines go out as text or as JSON, to standard error or to files that rotate. Three bounds hold
+//! whatever happens: a fault that repeats writes only so many lines a second ([`Flood`]), a reader
+//! that stands still never holds the program up ([`Lines`]), and files hold only so many bytes
+//! together ([`Files`]). What was left out is counted, and the next line says how much.
 
 mod flood;
 mod lines;
@@ -72,7 +72,8 @@
     pub format: Format,
     /// Where they go.
     pub sink: Sink,
-    /// Which are written: a level, and levels of parts, such as `info,pumiceway_net::hop=debug`. `None`: info.
+    /// Which are written: a level, and levels of parts, such as `info,pumiceway_net::hop=debug`.
+    /// `None`: info.
     pub level: Option<Level>,
     /// How many lines a second, and how many at once.
     pub flood: Flood,
@@ -98,7 +99,8 @@
                  as in info,pumiceway_net::hop=debug"
             )
         };
-        // Prevents: a level that is mistyped passes as the name of a part, and everything is written.
+        // Prevents: a level that is mistyped passes as the name of a part, and everything is
+        // written.
         let mut targets = Targets::new().with_default(LevelFilter::INFO);
         for part in text.split(',').map(str::trim) {
             let level = |level: &str| LevelFilter::from_str(level).map_err(|_| bad(part));
@@ -135,7 +137,8 @@
 
 type Reload = Box<dyn Fn(Level) -> Result<(), reload::Error> + Send + Sync>;
 
-/// A log that has been started. Dropped, it writes what is still to be written, for a second at most.
+/// A log that has been started. Dropped, it writes what is still to be written, for a second at
+/// most.
 pub struct Log {
     level: Reload,
     _lines: Guard,
@@ -165,15 +168,28 @@
 ) -> (impl Subscriber + Send + Sync + for<'a> LookupSpan<'a>, Log) {
     let (level, handle) = reload::Layer::new(level.unwrap_or_default().0);
     let writer = flood.writer(format, lines);
-    let layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(writer);
+    let layer = tracing_subscriber::fmt::layer()
+        .with_ansi(false)
+        .with_writer(writer);
     let layer = match format {
         Format::Text => layer.boxed(),
-        Format::Json => layer.json().flatten_event(true).with_span_list(false).boxed(),
+        Format::Json => layer
+            .json()
+            .flatten_event(true)
+            .with_span_list(false)
+            .boxed(),
     };
     // The level stands before the flood: what is not wanted takes nobody's place.
-    let subscriber = tracing_subscriber::registry().with(layer.with_filter(flood).with_filter(level));
+    let subscriber =
+        tracing_subscriber::registry().with(layer.with_filter(flood).with_filter(level));
     let level: Reload = Box::new(move |Level(targets)| handle.reload(targets));
-    (subscriber, Log { level, _lines: guard })
+    (
+        subscriber,
+        Log {
+            level,
+            _lines: guard,
+        },
+    )
 }
 
 fn open(sink: &Sink) -> Result<(Lines, Guard), LogError> {
@@ -190,14 +206,27 @@
     use file_rotate::suffix::AppendCount;
     use file_rotate::{ContentLimit, FileRotate};
     let path = std::path::absolute(&files.path).unwrap_or_else(|_| files.path.clone());
-    let failed = |why| LogError::File { path: files.path.clone(), why };
+    let failed = |why| LogError::File {
+        path: files.path.clone(),
+        why,
+    };
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder).map_err(failed)?;
     }
     // The library would only say on standard error, at each line, that it can't open its file.
-    std::fs::OpenOptions::new().create(true).append(true).open(&path).map_err(failed)?;
+    std::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(&path)
+        .map_err(failed)?;
     let limit = ContentLimit::BytesSurpassed(files.bytes.max(1));
-    Ok(FileRotate::new(path, AppendCount::new(files.older), limit, Compression::None, None))
+    Ok(FileRotate::new(
+        path,
+        AppendCount::new(files.older),
+        limit,
+        Compression::None,
+        None,
+    ))
 }
 
 #[cfg(not(feature = "files"))]
--- a/crates/logging/src/lines.rs
+++ b/crates/logging/src/lines.rs
@@ -9,8 +9,8 @@
 /// Lines that may wait to be written; a further one is dropped and counted.
 const WAITING: usize = 1_024;
 
-/// Takes lines without ever waiting. Prevents: a terminal that is held with Ctrl-S, a pipe that nobody reads or a
-/// slow disk holds the whole dispatcher up.
+/// Takes lines without ever waiting. Prevents: a terminal that is held with Ctrl-S, a pipe that
+/// nobody reads or a slow disk holds the whole dispatcher up.
 #[derive(Clone)]
 pub struct Lines {
     queue: SyncSender<Option<Vec<u8>>>,
@@ -60,6 +60,16 @@
         }
         let _ = tell.send(());
     });
-    let guard = Guard { queue: queue.clone(), written, patience };
-    (Lines { queue, dropped: Arc::default() }, guard)
+    let guard = Guard {
+        queue: queue.clone(),
+        written,
+        patience,
+    };
+    (
+        Lines {
+            queue,
+            dropped: Arc::default(),
+        },
+        guard,
+    )
 }
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -23,11 +23,18 @@
     tracing::subscriber::with_default(subscriber, || run(&log));
     drop(log);
     told.iter()
-        .flat_map(|part| String::from_utf8(part).unwrap().lines().map(str::to_owned).collect::<Vec<_>>())
+        .flat_map(|part| {
+            String::from_utf8(part)
+                .unwrap()
+                .lines()
+                .map(str::to_owned)
+                .collect::<Vec<_>>()
+        })
         .collect()
 }
 
-// Guards against a fault that repeats and floods the log, and against errors that a flood of lesser lines pushes out.
+// Guards against a fault that repeats and floods the log, and against errors that a flood of lesser
+// lines pushes out.
 #[test]
 fn a_flood_is_cut_off_and_counted_and_leaves_room_for_errors() {
     let lines = written(Format::Text, "trace", Flood::new(0.0, 5.0), |_| {
@@ -36,19 +43,33 @@
     });
     assert_eq!(lines.len(), 7, "{lines:?}");
     assert_eq!(lines[5], "(995 lines left out)");
-    assert!(lines[6].contains("ERROR") && lines[6].contains("failed why=\"disk\""), "{lines:?}");
+    assert!(
+        lines[6].contains("ERROR") && lines[6].contains("failed why=\"disk\""),
+        "{lines:?}"
+    );
 }
 
 // Guards against a file that programs cannot read, the line about what was left out included.
 #[test]
 fn lines_for_programs_are_objects_with_the_fields_at_the_top() {
     let lines = written(Format::Json, "info", Flood::new(0.0, 1.0), |_| {
-        tracing::info!(transaction = "t1", class = "rate-push", outcome = "served", "answered");
+        tracing::info!(
+            transaction = "t1",
+            class = "rate-push",
+            outcome = "served",
+            "answered"
+        );
         tracing::info!("left out");
         tracing::warn!(hop = "w \"1\"\n", "gone");
     });
-    let read: Vec<serde_json::Value> = lines.iter().map(|l| serde_json::from_str(l).unwrap()).collect();
-    assert_eq!((&read[0]["transaction"], &read[0]["outcome"]), (&"t1".into(), &"served".into()));
+    let read: Vec<serde_json::Value> = lines
+        .iter()
+        .map(|l| serde_json::from_str(l).unwrap())
+        .collect();
+    assert_eq!(
+        (&read[0]["transaction"], &read[0]["outcome"]),
+        (&"t1".into(), &"served".into())
+    );
     assert_eq!(read[1]["left_out"], 1);
     assert_eq!(read[2]["hop"], "w \"1\"\n");
 }
@@ -70,17 +91,23 @@
         }
     }
     let (tell, told) = mpsc::channel();
-    let lines = lines::start(Stuck(Some(first.0), rest.1, Collect(tell)), Duration::from_millis(20));
+    let lines = lines::start(
+        Stuck(Some(first.0), rest.1, Collect(tell)),
+        Duration::from_millis(20),
+    );
     let (subscriber, log) = build(Format::Text, None, Flood::new(0.0, 1e9), lines);
     tracing::subscriber::with_default(subscriber, || {
         (0..5_000).for_each(|n| tracing::info!(n, "line"));
         // Nothing has been read so far; from here on everything is.
         drop(rest.0);
-        // Each line is written, or counted before the next one that is: in whatever order the writer gets to run.
+        // Each line is written, or counted before the next one that is: in whatever order the
+        // writer gets to run.
         let (mut written, mut lost) = (0, 0);
         let mut read = || {
             let text = String::from_utf8(told.recv().unwrap()).unwrap();
-            let left_out = text.strip_prefix('(').and_then(|rest| rest.split_once(" lines left out)\n"));
+            let left_out = text
+                .strip_prefix('(')
+                .and_then(|rest| rest.split_once(" lines left out)\n"));
             lost += left_out.map_or(0, |(count, _)| count.parse::<usize>().unwrap());
             (!text.contains("after"), lost)
         };
@@ -112,31 +139,54 @@
     assert_eq!(lines.len(), 2, "{lines:?}");
     for bad in ["loud", "", "info,", "hop=loud", "=info"] {
         let why = bad.parse::<Level>().unwrap_err();
-        assert!(why.contains("off, error, warn, info, debug or trace"), "{why}");
+        assert!(
+            why.contains("off, error, warn, info, debug or trace"),
+            "{why}"
+        );
     }
 }
 
-// Guards against a log that grows without bound, and one that starts anew with each start of the program.
+// Guards against a log that grows without bound, and one that starts anew with each start of the
+// program.
 #[cfg(feature = "files")]
 #[test]
 fn files_rotate_and_hold_a_bounded_number_of_bytes() {
-    let folder =
-        std::env::temp_dir().join(format!("pumiceway-log-{}-{:?}", std::process::id(), Instant::now()));
-    let files = Files { path: folder.join("in/a.log"), bytes: 1_000, older: 2 };
+    let folder = std::env::temp_dir().join(format!(
+        "pumiceway-log-{}-{:?}",
+        std::process::id(),
+        Instant::now()
+    ));
+    let files = Files {
+        path: folder.join("in/a.log"),
+        bytes: 1_000,
+        older: 2,
+    };
     for _ in 0..2 {
-        let (subscriber, log) =
-            build(Format::Text, None, Flood::new(0.0, 1e9), open(&Sink::Files(files.clone())).unwrap());
+        let (subscriber, log) = build(
+            Format::Text,
+            None,
+            Flood::new(0.0, 1e9),
+            open(&Sink::Files(files.clone())).unwrap(),
+        );
         tracing::subscriber::with_default(subscriber, || {
             (0..100).for_each(|n| tracing::info!(n, "a line of some length"));
         });
         drop(log);
     }
-    let sizes: Vec<u64> =
-        std::fs::read_dir(folder.join("in")).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).collect();
+    let sizes: Vec<u64> = std::fs::read_dir(folder.join("in"))
+        .unwrap()
+        .map(|f| f.unwrap().metadata().unwrap().len())
+        .collect();
     assert_eq!(sizes.len(), 3);
     assert!(sizes.iter().all(|&size| size < 1_200), "{sizes:?}");
-    let blocked = Files { path: folder.join("in/a.log/b.log"), ..files };
+    let blocked = Files {
+        path: folder.join("in/a.log/b.log"),
+        ..files
+    };
     let why = open(&Sink::Files(blocked)).err().unwrap().to_string();
-    assert!(why.contains("b.log") && why.contains("can't be written"), "{why}");
+    assert!(
+        why.contains("b.log") && why.contains("can't be written"),
+        "{why}"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/net/benches/jobs.rs
+++ b/crates/net/benches/jobs.rs
@@ -1,8 +1,9 @@
-//! How many jobs a second pass through the program, and how long one is on its way, with Gearman workers that answer
-//! at once. Run with `cargo bench -p pumiceway-net`; everything is on loopback and ends by itself.
+//! How many jobs a second pass through the program, and how long one is on its way, with Gearman
+//! workers that answer at once. Run with `cargo bench -p pumiceway-net`; everything is on loopback
+//! and ends by itself.
 
 use hdrhistogram::Histogram;
-use pumiceway_rig::{Peer, Stage, gearman_echo};
+use pumiceway_test_support::{Peer, Stage, gearman_echo};
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -1,9 +1,10 @@
-//! The one place where configuration is read, checked and given defaults. Every message names its key.
+//! The one place where configuration is read, checked and given defaults. Every message names its
+//! key.
 
-use crate::discovery::Listing;
+use crate::discovery::ListMessage;
 pub use pumiceway_core::Retention;
-use pumiceway_decisions::api::{ClassId, Micros, Settings, SettingsError};
-use pumiceway_decisions::settings::{Conf, ConfError};
+use pumiceway_decisions::api::{ClassId, Settings, SettingsError};
+use pumiceway_decisions::settings::{DeploymentSettings, DeploymentSettingsError};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,16 +36,23 @@
 }
 
 fn bad(key: &str, why: impl ToString) -> ConfigError {
-    ConfigError::Key { key: key.to_owned(), why: why.to_string() }
+    ConfigError::Key {
+        key: key.to_owned(),
+        why: why.to_string(),
+    }
 }
 
 /// Settings that can be read and cannot work, by the key at fault where there is one.
-fn unusable(e: ConfError) -> ConfigError {
+fn unusable(e: DeploymentSettingsError) -> ConfigError {
     let key = match &e {
-        ConfError::UnknownZone(_) => "settings.my-zone",
-        ConfError::Unusable(SettingsError::NoClasses) => "settings.lanes",
-        ConfError::Unusable(SettingsError::NoAttempts) => "settings.limits.most-tries",
-        ConfError::Unusable(SettingsError::OutOfRange { what: "instance", .. }) => "settings.me",
+        DeploymentSettingsError::UnknownZone(_) => "settings.my-zone",
+        DeploymentSettingsError::Unusable(SettingsError::NoClasses) => "settings.lanes",
+        DeploymentSettingsError::Unusable(SettingsError::NoAttempts) => {
+            "settings.limits.most-tries"
+        }
+        DeploymentSettingsError::Unusable(SettingsError::OutOfRange {
+            what: "instance", ..
+        }) => "settings.me",
         _ => "settings",
     };
     bad(key, e)
@@ -59,8 +67,9 @@
     seed: Option<String>,
     #[serde(default)]
     limits: LimitsWritten,
-    known: Option<Listing>,
-    settings: Conf,
+    #[serde(rename = "known")]
+    bootstrap_list: Option<ListMessage>,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -72,7 +81,10 @@
 
 impl Default for LimitsWritten {
     fn default() -> LimitsWritten {
-        LimitsWritten { sockets: 1024, memory_mb: 192 }
+        LimitsWritten {
+            sockets: 1024,
+            memory_mb: 192,
+        }
     }
 }
 
@@ -90,9 +102,9 @@
     /// How sockets are shared out.
     pub sockets: Sockets,
     /// The route set as this dispatcher last held it.
-    pub known: Option<Listing>,
+    pub bootstrap_list: Option<ListMessage>,
     /// The settings as written.
-    pub conf: Arc<Conf>,
+    pub deployment: Arc<DeploymentSettings>,
     /// The settings of the decisions.
     pub settings: Settings,
     /// The Gearman front, where it is switched on.
@@ -111,7 +123,10 @@
     /// The keys under which another configuration says something else.
     fn changed(&self, other: &Fixed) -> Vec<String> {
         let keys: BTreeSet<&String> = self.0.keys().chain(other.0.keys()).collect();
-        keys.into_iter().filter(|&key| self.0.get(key) != other.0.get(key)).cloned().collect()
+        keys.into_iter()
+            .filter(|&key| self.0.get(key) != other.0.get(key))
+            .cloned()
+            .collect()
     }
 }
 
@@ -121,16 +136,25 @@
     /// Where discovery is from now on.
     pub discovery: String,
     /// Keys that say something else than at the start, and take a restart.
-    pub needs_restart: Vec<String>,
+    pub restart_required: Vec<String>,
 }
 
 impl Reload {
-    /// Reads the file named by `ROUTER_CONFIG` again. Its `discovery` wins over `ROUTER_DISCOVERY`, which tells
-    /// what was so at the start; `known` is older than what is known by now.
-    pub fn read(running: &Fixed, env: impl Fn(&str) -> Option<String>) -> Result<Reload, ConfigError> {
-        let config = Config::from_environment(|key| env(key).filter(|_| key != "ROUTER_DISCOVERY"))?;
-        let discovery = config.discovery.ok_or_else(|| bad("discovery", "missing"))?;
-        Ok(Reload { discovery, needs_restart: running.changed(&config.fixed) })
+    /// Reads the file named by `ROUTER_CONFIG` again. Its `discovery` wins over `ROUTER_DISCOVERY`,
+    /// which tells what was so at the start; `bootstrap_list` is older than what is known by now.
+    pub fn read(
+        running: &Fixed,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Reload, ConfigError> {
+        let config =
+            Config::from_environment(|key| env(key).filter(|_| key != "ROUTER_DISCOVERY"))?;
+        let discovery = config
+            .discovery
+            .ok_or_else(|| bad("discovery", "missing"))?;
+        Ok(Reload {
+            discovery,
+            restart_required: running.changed(&config.fixed),
+        })
     }
 }
 
@@ -153,27 +177,38 @@
 const SOCKETS_LEAST: usize = 128;
 
 impl Sockets {
-    /// A request that is served has a connection to a next hop, so both sides get as many; all parts together are no
-    /// more than there are. Prevents: out of descriptors, connections that the system has accepted for us are not taken,
-    /// and their requests lost.
+    /// A request that is served has a connection to a next hop, so both sides get as many; all
+    /// parts together are no more than there are. Prevents: out of descriptors, connections that
+    /// the system has accepted for us are not taken, and their requests lost.
     fn share_out(sockets: usize, memory_mb: u64) -> Sockets {
         let free = sockets - RESERVE;
         let fit = (memory_mb << 20) as usize / 2 / HELD_MOST;
-        Sockets { inbound: (free * 9 / 20).min(fit), spare: free / 20, outbound: free * 9 / 20 }
+        Sockets {
+            inbound: (free * 9 / 20).min(fit),
+            spare: free / 20,
+            outbound: free * 9 / 20,
+        }
     }
 }
 
 /// Names the key that a JSON or TOML text is wrong at.
-fn at<E: std::fmt::Display>(file: &str) -> impl Fn(serde_path_to_error::Error<E>) -> ConfigError + '_ {
+fn at<E: std::fmt::Display>(
+    file: &str,
+) -> impl Fn(serde_path_to_error::Error<E>) -> ConfigError + '_ {
     move |e| match e.path().to_string().as_str() {
-        "." => ConfigError::File { file: file.to_owned(), why: e.inner().to_string() },
+        "." => ConfigError::File {
+            file: file.to_owned(),
+            why: e.inner().to_string(),
+        },
         key => bad(key, format!("{} (in {file})", e.inner())),
     }
 }
 
 fn read(file: &Path) -> Result<String, ConfigError> {
-    std::fs::read_to_string(file)
-        .map_err(|e| ConfigError::File { file: file.display().to_string(), why: e.to_string() })
+    std::fs::read_to_string(file).map_err(|e| ConfigError::File {
+        file: file.display().to_string(),
+        why: e.to_string(),
+    })
 }
 
 /// What is wrong with a TOML text.
@@ -198,7 +233,9 @@
     serde_path_to_error::deserialize(parsed).map_err(|e| {
         // The path of a spanned value has a part that stands for its wrapper.
         let path = e.path().to_string();
-        let parts = path.split('.').filter(|part| !part.is_empty() && !part.starts_with("$__"));
+        let parts = path
+            .split('.')
+            .filter(|part| !part.is_empty() && !part.starts_with("$__"));
         wrong(e.inner(), parts.collect::<Vec<_>>().join("."))
     })
 }
@@ -219,7 +256,12 @@
 
 /// Checks an address that is written under a key.
 pub fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| bad(key, format!("{text:?} is not an address like 127.0.0.1:3000")))
+    text.parse().map_err(|_| {
+        bad(
+            key,
+            format!("{text:?} is not an address like 127.0.0.1:3000"),
+        )
+    })
 }
 
 impl Config {
@@ -238,11 +280,17 @@
         let fixed = fixed(text);
         let mut parsed = serde_json::Deserializer::from_str(text);
         let written: Written = serde_path_to_error::deserialize(&mut parsed).map_err(at(file))?;
-        let listen = env("ROUTER_LISTEN").or(written.listen).ok_or_else(|| bad("listen", "missing"))?;
+        let listen = env("ROUTER_LISTEN")
+            .or(written.listen)
+            .ok_or_else(|| bad("listen", "missing"))?;
         let listen = address("listen", &listen)?;
-        let discovery = env("ROUTER_DISCOVERY").or(written.discovery).filter(|d| !d.is_empty());
+        let discovery = env("ROUTER_DISCOVERY")
+            .or(written.discovery)
+            .filter(|d| !d.is_empty());
         if let Some(discovery) = &discovery {
-            let port = discovery.rsplit_once(':').and_then(|(_, port)| port.parse::<u16>().ok());
+            let port = discovery
+                .rsplit_once(':')
+                .and_then(|(_, port)| port.parse::<u16>().ok());
             port.ok_or_else(|| bad("discovery", format!("{discovery:?} is not host:port")))?;
         }
         let seed = match written.seed.as_deref() {
@@ -258,13 +306,15 @@
         }
         let settings = written.settings.settings().map_err(unusable)?;
         Ok(Config {
-            name: env("ROUTER_NAME").or(written.name).unwrap_or_else(|| "pumiceway".to_owned()),
+            name: env("ROUTER_NAME")
+                .or(written.name)
+                .unwrap_or_else(|| "pumiceway".to_owned()),
             listen,
             discovery,
             seed,
             sockets: Sockets::share_out(written.limits.sockets, written.limits.memory_mb),
-            known: written.known,
-            conf: Arc::new(written.settings),
+            bootstrap_list: written.bootstrap_list,
+            deployment: Arc::new(written.settings),
             settings,
             gearman: None,
             zookeeper: None,
@@ -274,24 +324,24 @@
 }
 
 impl Config {
-    /// A configuration that stands elsewhere than in the platform's file: listeners, settings, the next hops that
-    /// it lists, and the descriptors and megabytes that the process may use.
+    /// A configuration that stands elsewhere than in the platform's file: listeners, settings, the
+    /// next hops that it lists, and the descriptors and megabytes that the process may use.
     pub fn of_site(
         name: String,
         listen: SocketAddr,
-        conf: Conf,
-        known: Listing,
+        deployment: DeploymentSettings,
+        bootstrap_list: ListMessage,
         (sockets, memory_mb): (usize, u64),
     ) -> Result<Config, ConfigError> {
-        let settings = conf.settings().map_err(unusable)?;
+        let settings = deployment.settings().map_err(unusable)?;
         Ok(Config {
             name,
             listen,
             discovery: None,
             seed: fastrand::u64(..),
             sockets: Sockets::share_out(sockets.max(SOCKETS_LEAST), memory_mb),
-            known: Some(known),
-            conf: Arc::new(conf),
+            bootstrap_list: Some(bootstrap_list),
+            deployment: Arc::new(deployment),
             settings,
             gearman: None,
             zookeeper: None,
@@ -302,11 +352,16 @@
 
 /// All of a configuration but what is read again; of the settings, each key by itself.
 fn fixed(text: &str) -> Fixed {
-    let mut all: BTreeMap<String, serde_json::Value> = serde_json::from_str(text).unwrap_or_default();
+    let mut all: BTreeMap<String, serde_json::Value> =
+        serde_json::from_str(text).unwrap_or_default();
     // The seed is new with each start, and the list that was known with each writing of the file.
     all.retain(|key, _| !["discovery", "known", "seed"].contains(&key.as_str()));
     if let Some(serde_json::Value::Object(settings)) = all.remove("settings") {
-        all.extend(settings.into_iter().map(|(key, value)| (format!("settings.{key}"), value)));
+        all.extend(
+            settings
+                .into_iter()
+                .map(|(key, value)| (format!("settings.{key}"), value)),
+        );
     }
     Fixed(all)
 }
@@ -339,18 +394,35 @@
 impl ZooKeeperConfig {
     /// Reads the file.
     pub fn from_file(file: &Path) -> Result<ZooKeeperConfig, ConfigError> {
-        let ZooKeeperWritten { servers, path, session_timeout_ms } = read_toml(file)?;
-        let host_port = |s: &str| s.rsplit_once(':').is_some_and(|(_, port)| port.parse::<u16>().is_ok());
+        let ZooKeeperWritten {
+            servers,
+            path,
+            session_timeout_ms,
+        } = read_toml(file)?;
+        let host_port = |s: &str| {
+            s.rsplit_once(':')
+                .is_some_and(|(_, port)| port.parse::<u16>().is_ok())
+        };
         if !servers.split(',').all(host_port) {
-            return Err(bad("servers", format!("{servers:?} is not host:port,host:port")));
+            return Err(bad(
+                "servers",
+                format!("{servers:?} is not host:port,host:port"),
+            ));
         }
         if !path.starts_with('/') || path.ends_with('/') || path.contains("//") {
-            return Err(bad("path", format!("{path:?} is not a path like /pumiceway/workers")));
+            return Err(bad(
+                "path",
+                format!("{path:?} is not a path like /pumiceway/workers"),
+            ));
         }
         if !(1_000..=60_000).contains(&session_timeout_ms) {
             return Err(bad("session_timeout_ms", "not between 1000 and 60000"));
         }
-        Ok(ZooKeeperConfig { servers, path, session_timeout: Duration::from_millis(session_timeout_ms) })
+        Ok(ZooKeeperConfig {
+            servers,
+            path,
+            session_timeout: Duration::from_millis(session_timeout_ms),
+        })
     }
 }
 
@@ -444,12 +516,16 @@
     /// Slots that a job takes.
     pub slots: f64,
     /// Time that a job has.
-    pub left: Micros,
+    pub deadline: Duration,
 }
 
 impl GearmanConfig {
     /// Reads the file; `inbound` is how many connections of clients the process may serve.
-    pub fn from_file(file: &Path, conf: &Conf, inbound: usize) -> Result<GearmanConfig, ConfigError> {
+    pub fn from_file(
+        file: &Path,
+        deployment: &DeploymentSettings,
+        inbound: usize,
+    ) -> Result<GearmanConfig, ConfigError> {
         let written: GearmanWritten = read_toml(file)?;
         let positive = |key: &str, n: usize, most: usize| match (1..=most).contains(&n) {
             true => Ok(()),
@@ -464,14 +540,26 @@
         let mut functions = BTreeMap::new();
         for (name, f) in written.functions {
             let key = |part: &str| format!("functions.{name}.{part}");
-            let class = conf.class(&f.class);
-            let class = class.ok_or_else(|| bad(&key("class"), format!("unknown class {}", f.class)))?;
+            let class = deployment.class(&f.class);
+            let class =
+                class.ok_or_else(|| bad(&key("class"), format!("unknown class {}", f.class)))?;
             if !(f.slots > 0.0 && f.slots <= 1_000.0) {
-                return Err(bad(&key("slots"), format!("{} is not a number of slots", f.slots)));
+                return Err(bad(
+                    &key("slots"),
+                    format!("{} is not a number of slots", f.slots),
+                ));
             }
-            // The class's own: the decisions take a shorter one for a second try, which has waited already.
-            let left = conf.lanes[class].deadline_us;
-            functions.insert(name, Function { class: ClassId(class), slots: f.slots, left });
+            // The class's own: the decisions take a shorter one for a second try, which has waited
+            // already.
+            let deadline = Duration::from_micros(deployment.classes[class].deadline_us);
+            functions.insert(
+                name,
+                Function {
+                    class: ClassId(class),
+                    slots: f.slots,
+                    deadline,
+                },
+            );
         }
         let config = GearmanConfig {
             listen: address("listen", &written.listen)?,
@@ -480,23 +568,30 @@
             queue: written.queue,
             warm: written.warm,
             retention: Retention {
-                time: written.retention_s * 1_000_000,
+                time: Duration::from_secs(written.retention_s),
                 entries: written.kept_answers,
                 running: written.jobs,
                 bytes: written.kept_mb << 20,
             },
             functions,
         };
-        Ok(config.with_default_functions(conf))
+        Ok(config.with_default_functions(deployment))
     }
 
     /// The same; without any function, each class is one of its own name.
-    pub fn with_default_functions(mut self, conf: &Conf) -> GearmanConfig {
+    pub fn with_default_functions(mut self, deployment: &DeploymentSettings) -> GearmanConfig {
         if self.functions.is_empty() {
-            let own = |(n, lane): (usize, &pumiceway_decisions::settings::Lane)| {
-                (lane.name.clone(), Function { class: ClassId(n), slots: 1.0, left: lane.deadline_us })
+            let own = |(n, class): (usize, &pumiceway_decisions::settings::ClassSettings)| {
+                (
+                    class.name.clone(),
+                    Function {
+                        class: ClassId(n),
+                        slots: 1.0,
+                        deadline: Duration::from_micros(class.deadline_us),
+                    },
+                )
             };
-            self.functions = conf.lanes.iter().enumerate().map(own).collect();
+            self.functions = deployment.classes.iter().enumerate().map(own).collect();
         }
         self
     }
--- a/crates/net/src/discovery/body.rs
+++ b/crates/net/src/discovery/body.rs
@@ -32,7 +32,10 @@
 impl DatedBody {
     /// The body of an answer to a call that was begun at this time.
     pub(super) fn new(body: Incoming, called: Instant) -> DatedBody {
-        DatedBody { body, read_up_to: called }
+        DatedBody {
+            body,
+            read_up_to: called,
+        }
     }
 
     /// What is read next was written at this time or later.
@@ -48,8 +51,8 @@
                 Ok(None) => return Ok(None),
                 Ok(Some(frame)) => return Ok(Some(frame?.into_data().unwrap_or_default())),
                 Err(_) if end <= looked => return Err(ReadError::Silent),
-                // A timer goes off only after the runtime has asked the system what has arrived, so what had come when we
-                // looked would have been read by now.
+                // A timer goes off only after the runtime has asked the system what has arrived, so
+                // what had come when we looked would have been read by now.
                 Err(_) => self.read_up_to = looked,
             }
         }
--- a/crates/net/src/discovery/call.rs
+++ b/crates/net/src/discovery/call.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 
 /// The head of an answer, and its body to come. Ends when both are dropped.
-pub(super) type Answer = (SendRequest<Empty<Bytes>>, Incoming);
+pub(super) type CallResponse = (SendRequest<Empty<Bytes>>, Incoming);
 
 /// Why a call was not answered. None of it shows whether discovery has anything to tell.
 #[derive(Debug, thiserror::Error)]
@@ -32,12 +32,15 @@
 }
 
 /// Asks the service at this address for this path, and waits for the head of the answer.
-pub(super) async fn call(address: String, path: String) -> Result<Answer, CallError> {
+pub(super) async fn call(address: String, path: String) -> Result<CallResponse, CallError> {
     let stream = TcpStream::connect(&address).await?;
     let _ = stream.set_nodelay(true);
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let (mut sender, connection) =
+        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
-    let request = Request::get(path).header("Host", &address).body(Empty::new())?;
+    let request = Request::get(path)
+        .header("Host", &address)
+        .body(Empty::new())?;
     let answer = sender.send_request(request).await?;
     match answer.status() {
         status if status.is_success() => Ok((sender, answer.into_body())),
--- a/crates/net/src/discovery/mod.rs
+++ b/crates/net/src/discovery/mod.rs
@@ -2,26 +2,26 @@
 
 mod body;
 mod call;
-mod listing;
-pub mod pace;
+pub mod call_schedule;
+mod list_message;
 mod stream;
 mod watcher;
 pub mod zookeeper;
 
-pub use listing::{Endpoint, Listing, Status};
-use pumiceway_core::{RouteNews, Source};
+pub use list_message::{ListMessage, ListedEndpoint, ListedState};
+use pumiceway_core::{EndpointListUpdate, EndpointSource};
 use tokio::time::Instant;
-pub use watcher::Watcher;
+pub use watcher::DiscoveryWatcher;
 
 /// What a source tells, or what has become of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SourceNews {
+pub struct SourceUpdate {
     /// Who tells.
-    pub source: Source,
+    pub source: EndpointSource,
     /// The earliest time at which it can have been so.
-    pub since: Instant,
+    pub as_of: Instant,
     /// What it tells.
-    pub news: RouteNews,
+    pub update: EndpointListUpdate,
 }
 
 /// What fits into a line of the log. Prevents: it repeats megabytes that discovery said.
--- a/crates/net/src/discovery/zookeeper.rs
+++ b/crates/net/src/discovery/zookeeper.rs
@@ -1,14 +1,16 @@
-//! A route set kept in ZooKeeper: each worker registers an ephemeral node, which goes with its session.
+//! A route set kept in ZooKeeper: each worker registers an ephemeral node, which goes with its
+//! session.
 //!
-//! A node below the watched path is a worker of that name. Its data is a line of discovery's list as JSON;
-//! `name` is the node's, `status` is `ready` and `since_ms` the node's creation unless the data says otherwise.
-//! The watch is a persistent recursive one, which servers have from version 3.6 on.
+//! A node below the watched path is a worker of that name. Its data is a line of discovery's list
+//! as JSON; `name` is the node's, `status` is `ready` and `since_ms` the node's creation unless the
+//! data says otherwise. The watch is a persistent recursive one, which servers have from version
+//! 3.6 on.
 
-use super::{Endpoint, Listing, SourceNews};
+use super::{ListMessage, ListedEndpoint, SourceUpdate};
 use crate::config::ZooKeeperConfig;
-use pumiceway_core::{RouteNews, Source};
-use pumiceway_decisions::rules::Contact;
-use pumiceway_decisions::settings::Conf;
+use pumiceway_core::{EndpointListUpdate, EndpointSource};
+use pumiceway_decisions::rules::LeaseSignal;
+use pumiceway_decisions::settings::DeploymentSettings;
 use serde_json::Value;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,19 +21,20 @@
 
 /// A call is answered within this time or has failed.
 const CALL: Duration = Duration::from_secs(2);
-/// The ensemble is asked this often whether the session still stands: the answer comes after all events before it.
+/// The ensemble is asked this often whether the session still stands: the answer comes after all
+/// events before it.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
 /// Wait before the next session after one that failed.
 const PAUSE: Duration = Duration::from_millis(500);
 
 /// Watches the nodes and tells of the route set until the receiver is gone.
-pub struct Nodes {
+pub struct ZooKeeperSource {
     /// Where they are.
     pub config: ZooKeeperConfig,
     /// What their words mean.
-    pub conf: Arc<Conf>,
+    pub settings: Arc<DeploymentSettings>,
     /// Who is told.
-    pub tell: mpsc::Sender<SourceNews>,
+    pub updates: mpsc::Sender<SourceUpdate>,
 }
 
 enum Broken {
@@ -45,7 +48,7 @@
     }
 }
 
-impl Nodes {
+impl ZooKeeperSource {
     /// Opens sessions and follows the nodes, again and again.
     pub async fn run(self) {
         loop {
@@ -54,21 +57,33 @@
                 Err(Broken::Unheard) => return,
                 Err(Broken::Failed(why)) => warn!(why, "the session with the ensemble broke"),
             }
-            if self.say(Instant::now(), RouteNews::Lost(Contact::WatchEnded)).await.is_err() {
+            if self
+                .say(
+                    Instant::now(),
+                    EndpointListUpdate::Lost(LeaseSignal::WatchEnded),
+                )
+                .await
+                .is_err()
+            {
                 return;
             }
             sleep(PAUSE.mul_f64(0.5 + fastrand::f64())).await;
         }
     }
 
-    async fn say(&self, since: Instant, news: RouteNews) -> Result<(), Broken> {
-        let news = SourceNews { source: Source::ZooKeeper, since, news };
-        self.tell.send(news).await.map_err(|_| Broken::Unheard)
+    async fn say(&self, as_of: Instant, update: EndpointListUpdate) -> Result<(), Broken> {
+        let update = SourceUpdate {
+            source: EndpointSource::ZooKeeper,
+            as_of,
+            update,
+        };
+        self.updates.send(update).await.map_err(|_| Broken::Unheard)
     }
 
     async fn session(&self) -> Result<(), Broken> {
-        let connector =
-            Client::connector().with_session_timeout(self.config.session_timeout).with_fail_eagerly();
+        let connector = Client::connector()
+            .with_session_timeout(self.config.session_timeout)
+            .with_fail_eagerly();
         let client = connector.connect(&self.config.servers).await?;
         let path = &self.config.path;
         // Watched before it is listed, so that nothing falls between.
@@ -77,12 +92,16 @@
         loop {
             let asked = Instant::now();
             let listing = self.list(&client).await?;
-            self.say(asked, RouteNews::Whole(listing.hops(&self.conf))).await?;
+            self.say(
+                asked,
+                EndpointListUpdate::Snapshot(listing.endpoints(&self.settings)),
+            )
+            .await?;
             loop {
                 let Ok(event) = timeout(ASK_AGAIN, watch.changed()).await else {
                     let asked = Instant::now();
                     within(client.list_children(path)).await?;
-                    self.say(asked, RouteNews::Unchanged).await?;
+                    self.say(asked, EndpointListUpdate::Unchanged).await?;
                     continue;
                 };
                 match (event.event_type, event.session_state) {
@@ -92,7 +111,11 @@
                         return Err(Broken::Failed(format!("session {state:?}")));
                     }
                     (EventType::Session, _) => {
-                        self.say(Instant::now(), RouteNews::Lost(Contact::WatchEnded)).await?;
+                        self.say(
+                            Instant::now(),
+                            EndpointListUpdate::Lost(LeaseSignal::WatchEnded),
+                        )
+                        .await?;
                     }
                     _ => break,
                 }
@@ -100,7 +123,7 @@
         }
     }
 
-    async fn list(&self, client: &Client) -> Result<Listing, Broken> {
+    async fn list(&self, client: &Client) -> Result<ListMessage, Broken> {
         let path = &self.config.path;
         let mut endpoints = Vec::new();
         for name in within(client.list_children(path)).await? {
@@ -117,7 +140,11 @@
                 }
             }
         }
-        Ok(Listing { index: 0, snapshot: true, endpoints })
+        Ok(ListMessage {
+            index: 0,
+            snapshot: true,
+            endpoints,
+        })
     }
 }
 
@@ -129,10 +156,12 @@
 }
 
 /// A node as a line of a list.
-fn endpoint(name: &str, data: &[u8], created_ms: i64) -> Result<Endpoint, serde_json::Error> {
+fn endpoint(name: &str, data: &[u8], created_ms: i64) -> Result<ListedEndpoint, serde_json::Error> {
     let mut fields: serde_json::Map<String, Value> = serde_json::from_slice(data)?;
     fields.insert("name".to_owned(), name.into());
     fields.entry("status").or_insert_with(|| "ready".into());
-    fields.entry("since_ms").or_insert_with(|| created_ms.max(0).into());
+    fields
+        .entry("since_ms")
+        .or_insert_with(|| created_ms.max(0).into());
     serde_json::from_value(Value::Object(fields))
 }
--- /dev/null
+++ b/crates/net/src/event_loop/effects.rs
@@ -0,0 +1,303 @@
+//! Carrying out the effects of the core.
+
+use super::watch::DiscoveryWatch;
+use super::{EventLoop, PendingClient, RunningAttempt};
+use crate::frontend::EventSender;
+use crate::upstream::{AttemptObserver, AttemptOptions};
+use pumiceway_core::{
+    AttemptId, AttemptOutcome, AttemptUpdate, ClientResponse, Effect, EndpointAddress,
+    EndpointSource, Event, HealthCheckId, Job,
+};
+use pumiceway_decisions::api::{ClassId, EndpointId, LoadReport, Outcome, Timestamp};
+use pumiceway_decisions::rules::LeaseSignal;
+use std::collections::HashSet;
+use std::sync::atomic::Ordering;
+use tokio::time::Instant;
+use tracing::{debug, error, info, warn};
+
+/// Sends what becomes of an attempt to the event loop.
+struct AttemptReporter {
+    events: EventSender,
+    attempt: AttemptId,
+}
+
+impl AttemptObserver for AttemptReporter {
+    fn updated(&self, update: AttemptUpdate) {
+        if matches!(update, AttemptUpdate::Started) {
+            debug!(attempt = self.attempt.0, "attempt started");
+        }
+        self.events.send(Event::AttemptUpdated {
+            attempt: self.attempt,
+            update,
+        });
+    }
+
+    fn ended(&mut self, outcome: AttemptOutcome, report: Option<LoadReport>) {
+        self.events.send(Event::AttemptEnded {
+            attempt: self.attempt,
+            outcome,
+            report,
+        });
+    }
+}
+
+impl EventLoop {
+    pub(super) fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::StartAttempt {
+                attempt,
+                attempt_index,
+                endpoint,
+                address,
+                class,
+                job,
+                remaining,
+                dedicated_connection,
+                write_by,
+            } => {
+                let class_name = self.class_name(class);
+                debug!(
+                    request_id = job.id,
+                    attempt = attempt.0,
+                    attempt_index,
+                    endpoint = %address,
+                    class = class_name,
+                    "attempt sent"
+                );
+                let write_by = write_by.map(|at| Instant::from_std(self.clock.instant(at)));
+                let options = AttemptOptions {
+                    remaining,
+                    dedicated_connection,
+                    write_by,
+                };
+                match (address, &self.workers) {
+                    (EndpointAddress::Network(address), _) => {
+                        self.start_attempt(attempt, endpoint, &address, &job, options);
+                    }
+                    (EndpointAddress::Session(session), Some(workers)) => {
+                        workers.start(session, attempt, class, job);
+                    }
+                    (EndpointAddress::Session(_), None) => self.fail_to_connect(attempt),
+                }
+            }
+            Effect::AbortAttempt { attempt } => self.abort_attempt(attempt),
+            Effect::Respond { handle, response } => {
+                if let Some(client) = self.clients.remove(&handle) {
+                    self.log_response(&client, &response);
+                    // A client that has just left needs none.
+                    let _ = client.response.send(response);
+                }
+            }
+            Effect::ForwardUpdate { handle, update } => {
+                if let Some(PendingClient {
+                    updates: Some(updates),
+                    ..
+                }) = self.clients.get(&handle)
+                {
+                    let _ = updates.send(update);
+                }
+            }
+            Effect::CheckHealth {
+                endpoint,
+                check,
+                address,
+            } => self.check_health(endpoint, check, address),
+            Effect::CloseIdleConnections { endpoint } => self.upstreams.remove(endpoint),
+            Effect::WatchDiscovery {
+                address,
+                list_version,
+            } => self.watch_discovery(address, list_version),
+            Effect::SetTimer { at } => self.timer = Some(at),
+            Effect::ReportReady => self.ready.store(true, Ordering::Relaxed),
+            Effect::CloseFrontends => drop(self.close_frontends.send(true)),
+            Effect::Exit => self.exit = true,
+            Effect::LogLease {
+                source,
+                signal,
+                expires_at,
+            } => self.log_lease(source, signal, expires_at),
+            Effect::Warn(warning) => warn!("{warning}"),
+        }
+    }
+
+    pub(super) fn start_attempt(
+        &mut self,
+        attempt: AttemptId,
+        endpoint: EndpointId,
+        address: &str,
+        job: &Job,
+        options: AttemptOptions,
+    ) {
+        // An endpoint must not be blamed for a connection that there was no descriptor for.
+        if self.attempts.len() >= self.upstreams.max_sockets() || !self.free_socket() {
+            let max_sockets = self.upstreams.max_sockets();
+            warn!(
+                request_id = job.id,
+                attempt = attempt.0,
+                endpoint = address,
+                max_sockets,
+                "attempt was not sent: no socket is left"
+            );
+            let outcome = AttemptOutcome::NotSent;
+            return self.events.send(Event::AttemptEnded {
+                attempt,
+                outcome,
+                report: None,
+            });
+        }
+        let observer = AttemptReporter {
+            events: self.events.clone(),
+            attempt,
+        };
+        let client = self.upstreams.client(self.clock.now(), endpoint, address);
+        match client.attempt(job, options, observer) {
+            Ok((connection, driver)) => {
+                let task = tokio::spawn(driver).abort_handle();
+                self.attempts.insert(
+                    attempt,
+                    RunningAttempt {
+                        endpoint,
+                        connection,
+                        task,
+                    },
+                );
+            }
+            Err(error) => {
+                error!(
+                    request_id = job.id,
+                    attempt = attempt.0,
+                    endpoint = address,
+                    reason = %error,
+                    "attempt was not sent: its request cannot be built"
+                );
+                self.fail_to_connect(attempt);
+            }
+        }
+    }
+
+    fn fail_to_connect(&self, attempt: AttemptId) {
+        let outcome = AttemptOutcome::ConnectFailed;
+        self.events.send(Event::AttemptEnded {
+            attempt,
+            outcome,
+            report: None,
+        });
+    }
+
+    fn abort_attempt(&mut self, attempt: AttemptId) {
+        debug!(attempt = attempt.0, outcome = "aborted", "attempt ended");
+        if let Some(RunningAttempt {
+            connection, task, ..
+        }) = self.attempts.remove(&attempt)
+        {
+            connection.abort();
+            task.abort();
+        } else if let Some(workers) = &self.workers {
+            workers.abort(attempt);
+        }
+    }
+
+    fn check_health(
+        &mut self,
+        endpoint: EndpointId,
+        check: HealthCheckId,
+        address: EndpointAddress,
+    ) {
+        let ended = move |outcome, report| Event::HealthChecked {
+            endpoint,
+            check,
+            outcome,
+            report,
+        };
+        let address = match address {
+            EndpointAddress::Network(address) => address,
+            EndpointAddress::Session(session) => {
+                let workers = self.workers.as_ref();
+                let (outcome, report) = workers.map_or((Outcome::ConnectFailed, None), |workers| {
+                    workers.check_health(session)
+                });
+                return self.events.send(ended(outcome, report));
+            }
+        };
+        if !self.free_socket() {
+            return self.events.send(ended(Outcome::NotSent, None));
+        }
+        let client = self.upstreams.client(self.clock.now(), endpoint, &address);
+        let events = self.events.clone();
+        tokio::spawn(async move {
+            let (outcome, report) = client.check_health().await;
+            debug!(
+                endpoint = client.address(),
+                ?outcome,
+                ?report,
+                "health check ended"
+            );
+            events.send(ended(outcome, report));
+        });
+    }
+
+    fn free_socket(&mut self) -> bool {
+        let busy: HashSet<EndpointId> = self
+            .attempts
+            .values()
+            .map(|attempt| attempt.endpoint)
+            .collect();
+        self.upstreams.free_socket(&busy)
+    }
+
+    fn watch_discovery(&mut self, address: String, list_version: Option<u64>) {
+        let after_move = self.watch.is_some();
+        let watch = DiscoveryWatch::start(address, self.settings.clone(), list_version, after_move);
+        if after_move {
+            self.next_watch = Some(watch);
+        } else {
+            self.watch = Some(watch);
+        }
+    }
+
+    fn class_name(&self, class: ClassId) -> &str {
+        self.settings
+            .classes
+            .get(class.0)
+            .map_or("?", |class| &class.name)
+    }
+
+    /// Failures are logged for the operators; the rest would be too much.
+    fn log_response(&self, client: &PendingClient, response: &ClientResponse) {
+        let request_id = &client.job.id;
+        let class = self.class_name(client.class);
+        let elapsed_ms = self
+            .clock
+            .now()
+            .saturating_duration_since(client.since)
+            .as_millis() as u64;
+        let outcome = response.as_str();
+        match response {
+            ClientResponse::Failed(reason) => {
+                warn!(request_id, class, outcome, %reason, elapsed_ms, "request ended");
+            }
+            ClientResponse::Rejected(reason) => {
+                info!(request_id, class, outcome, %reason, elapsed_ms, "request ended");
+            }
+            ClientResponse::Served(_) | ClientResponse::Overloaded { .. } => {
+                debug!(request_id, class, outcome, elapsed_ms, "request ended");
+            }
+        }
+    }
+
+    fn log_lease(
+        &self,
+        source: EndpointSource,
+        signal: LeaseSignal,
+        expires_at: Option<Timestamp>,
+    ) {
+        let remaining = expires_at.map(|at| at.saturating_duration_since(self.clock.now()));
+        let expires_in_ms = remaining.map(|remaining| remaining.as_millis() as u64);
+        debug!(
+            ?source,
+            ?signal,
+            expires_in_ms,
+            "lease on the endpoint list updated"
+        );
+    }
+}
--- /dev/null
+++ b/crates/net/src/event_loop/mod.rs
@@ -0,0 +1,451 @@
+//! The event loop: carries out the effects of the core, and returns their results to it as events.
+//!
+//! The core is a state machine without I/O; this is the thin asynchronous part around it. One task
+//! owns the core and all that is in flight, so nothing here is locked. Frontends, attempts and
+//! health checks run as tasks of their own and send
+//! [`LoopMessage`]s.
+
+mod clock;
+mod effects;
+mod upstreams;
+mod watch;
+
+pub use clock::Clock;
+
+use crate::config::{Config, GearmanConfig, Reload, Sockets};
+use crate::discovery::SourceUpdate;
+use crate::discovery::zookeeper::ZooKeeperSource;
+use crate::frontend::gearman::GearmanFrontend;
+use crate::frontend::gearman::workers::{SessionKinds, WorkerSessions};
+use crate::frontend::http::HttpFrontend;
+use crate::frontend::{EventSender, LoopMessage};
+use crate::upstream::AttemptConnection;
+use pumiceway_core::{
+    AttemptId, AttemptUpdate, ClientRequest, ClientResponse, Core, EndpointListUpdate,
+    EndpointSource, Event, Job, RequestHandle, Retention,
+};
+use pumiceway_decisions::api::{ClassId, EndpointId, Timestamp};
+use pumiceway_decisions::settings::DeploymentSettings;
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot, watch as watch_channel};
+use tokio::task::{AbortHandle, JoinSet};
+use tokio::time::{Instant, sleep_until};
+use tracing::{debug, info};
+use upstreams::Upstreams;
+use watch::DiscoveryWatch;
+
+/// Messages that are taken in at a time.
+const BATCH: usize = 1_024;
+/// Updates of a source that may wait here. A source that has more waits, and reads no further:
+/// otherwise a service that sends without end would fill the memory.
+const SOURCE_CHANNEL_CAPACITY: usize = 1;
+
+/// A dispatcher whose listeners are bound.
+pub struct Dispatcher {
+    config: Config,
+    gearman: Option<(GearmanConfig, TcpListener)>,
+    listener: TcpListener,
+}
+
+impl Dispatcher {
+    /// Binds the listeners that the configuration names.
+    ///
+    /// # Errors
+    ///
+    /// An address that cannot be bound.
+    pub async fn bind(mut config: Config) -> io::Result<Dispatcher> {
+        let listener = TcpListener::bind(config.listen).await?;
+        let gearman = match config.gearman.take() {
+            Some(gearman) => {
+                let listener = TcpListener::bind(gearman.listen).await?;
+                Some((gearman, listener))
+            }
+            None => None,
+        };
+        Ok(Dispatcher {
+            config,
+            gearman,
+            listener,
+        })
+    }
+
+    /// The addresses of the HTTP frontend and of the Gearman frontend.
+    ///
+    /// # Errors
+    ///
+    /// The system does not tell them.
+    pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
+        let gearman = self
+            .gearman
+            .as_ref()
+            .map(|(_, listener)| listener.local_addr())
+            .transpose()?;
+        Ok((self.listener.local_addr()?, gearman))
+    }
+
+    /// Serves until `shutdown` is ready and all requests have their responses. Configurations that
+    /// are read meanwhile come through `reloads`.
+    ///
+    /// # Errors
+    ///
+    /// Settings that cannot work, or an address that the system does not tell.
+    pub async fn run(
+        self,
+        shutdown: impl Future<Output = ()>,
+        reloads: mpsc::UnboundedReceiver<Reload>,
+    ) -> io::Result<()> {
+        let (address, gearman_address) = self.addresses()?;
+        let Dispatcher {
+            mut config,
+            gearman,
+            listener,
+        } = self;
+        let clock = Clock::start();
+        let (events, messages) = EventSender::new();
+        let (close_frontends, closing) = watch_channel::channel(false);
+        let mut retention = Retention::default();
+        let mut frontends = JoinSet::new();
+        let mut workers = None;
+        if let Some((gearman, listener)) = gearman {
+            retention = gearman.retention;
+            let sessions = prepare_gearman(&mut config, &gearman, &events)?;
+            workers = Some(sessions.clone());
+            let frontend =
+                GearmanFrontend::new(events.clone(), config.deployment.clone(), gearman, sessions);
+            frontends.spawn(frontend.serve(listener, closing.clone(), move || clock.now()));
+        }
+        let core = Core::new(config.settings, config.seed, retention).map_err(io::Error::other)?;
+        let deployment = config.deployment;
+        let mut event_loop = EventLoop::new(
+            clock,
+            core,
+            events.clone(),
+            deployment.clone(),
+            &config.sockets,
+        );
+        event_loop.workers = workers;
+        event_loop.close_frontends = close_frontends;
+        let list_version = config.bootstrap_list.as_ref().map(|list| list.index);
+        let bootstrap_list = config
+            .bootstrap_list
+            .unwrap_or_default()
+            .endpoints(&deployment);
+        let endpoints = bootstrap_list.len();
+        event_loop.start_discovery(bootstrap_list, list_version, config.discovery);
+        let (zookeeper_updates, zookeeper) = mpsc::channel(SOURCE_CHANNEL_CAPACITY);
+        if let Some(config) = config.zookeeper {
+            event_loop.feed(Event::LeaseRequired {
+                source: EndpointSource::ZooKeeper,
+            });
+            let source = ZooKeeperSource {
+                config,
+                settings: deployment.clone(),
+                updates: zookeeper_updates,
+            };
+            tokio::spawn(source.run());
+        }
+        let frontend = HttpFrontend {
+            events: events.clone(),
+            settings: deployment,
+            ready: event_loop.ready.clone(),
+        };
+        frontends.spawn(frontend.serve(listener, config.sockets, closing));
+        tokio::spawn(async move {
+            while frontends.join_next().await.is_some() {}
+            events.send(Event::FrontendsClosed);
+        });
+        let gearman_address = gearman_address.map(tracing::field::display);
+        info!(name = config.name, %address, gearman = gearman_address, "dispatcher is listening");
+        info!(
+            version = list_version,
+            endpoints, "dispatcher starts with its bootstrap list"
+        );
+        event_loop
+            .run(
+                shutdown,
+                Inputs {
+                    messages,
+                    zookeeper,
+                    reloads,
+                },
+            )
+            .await;
+        Ok(())
+    }
+}
+
+/// Takes the Gearman frontend into account in the settings, and makes the table of its worker
+/// sessions.
+fn prepare_gearman(
+    config: &mut Config,
+    gearman: &GearmanConfig,
+    events: &EventSender,
+) -> io::Result<WorkerSessions> {
+    config.sockets.inbound -= gearman.connections.min(config.sockets.inbound / 2);
+    let kinds = SessionKinds::add(&mut config.settings)
+        .ok_or_else(|| io::Error::other("gearman: too many classes to tell workers apart by"))?;
+    for class in &mut config.settings.classes {
+        class.max_queue_time = class.max_queue_time.or(Some(class.deadline));
+    }
+    config.settings.max_queued = gearman.queue;
+    Ok(WorkerSessions::new(events.clone(), kinds, gearman.warm))
+}
+
+/// What the event loop waits for.
+struct Inputs {
+    messages: mpsc::UnboundedReceiver<LoopMessage>,
+    zookeeper: mpsc::Receiver<SourceUpdate>,
+    reloads: mpsc::UnboundedReceiver<Reload>,
+}
+
+/// A client that waits for its response.
+struct PendingClient {
+    response: oneshot::Sender<ClientResponse>,
+    /// Where progress goes, if the client wants any.
+    updates: Option<mpsc::UnboundedSender<AttemptUpdate>>,
+    job: Arc<Job>,
+    class: ClassId,
+    since: Timestamp,
+}
+
+/// An attempt in flight over HTTP.
+struct RunningAttempt {
+    endpoint: EndpointId,
+    connection: AttemptConnection,
+    task: AbortHandle,
+}
+
+/// Owns the core and what it has in flight.
+struct EventLoop {
+    clock: Clock,
+    core: Core,
+    events: EventSender,
+    settings: Arc<DeploymentSettings>,
+    /// The worker sessions, where there is a Gearman frontend.
+    workers: Option<WorkerSessions>,
+    upstreams: Upstreams,
+    attempts: HashMap<AttemptId, RunningAttempt>,
+    clients: HashMap<RequestHandle, PendingClient>,
+    /// The dispatcher reports itself as ready.
+    ready: Arc<AtomicBool>,
+    /// Set once the frontends are to close.
+    close_frontends: watch_channel::Sender<bool>,
+    /// When the core's timer fires.
+    timer: Option<Timestamp>,
+    exit: bool,
+    /// The watch whose updates confirm the list.
+    watch: Option<DiscoveryWatch>,
+    /// After a move of discovery: the watch at its new address, until it has sent the list.
+    next_watch: Option<DiscoveryWatch>,
+}
+
+impl EventLoop {
+    /// A loop that knows no endpoint yet, without a Gearman frontend.
+    fn new(
+        clock: Clock,
+        core: Core,
+        events: EventSender,
+        settings: Arc<DeploymentSettings>,
+        sockets: &Sockets,
+    ) -> EventLoop {
+        EventLoop {
+            clock,
+            core,
+            events,
+            upstreams: Upstreams::new(&settings, sockets),
+            settings,
+            workers: None,
+            attempts: HashMap::new(),
+            clients: HashMap::new(),
+            ready: Arc::default(),
+            close_frontends: watch_channel::channel(false).0,
+            timer: None,
+            exit: false,
+            watch: None,
+            next_watch: None,
+        }
+    }
+
+    fn start_discovery(
+        &mut self,
+        bootstrap_list: Vec<pumiceway_core::Endpoint>,
+        list_version: Option<u64>,
+        discovery: Option<String>,
+    ) {
+        let (source, as_of) = (EndpointSource::Discovery, self.clock.now());
+        let update = EndpointListUpdate::Bootstrap(bootstrap_list);
+        self.feed(Event::EndpointListUpdated {
+            source,
+            as_of,
+            update,
+        });
+        if discovery.is_none() {
+            // Nobody will confirm the list of the configuration, so it holds as it is.
+            let update = EndpointListUpdate::Delta(vec![]);
+            self.feed(Event::EndpointListUpdated {
+                source,
+                as_of,
+                update,
+            });
+        }
+        self.feed(Event::Configured {
+            discovery,
+            list_version,
+            restart_required: vec![],
+        });
+    }
+
+    async fn run(&mut self, shutdown: impl Future<Output = ()>, mut inputs: Inputs) {
+        let mut shutdown = std::pin::pin!(shutdown);
+        let mut shutting_down = false;
+        let mut batch = Vec::new();
+        while !self.exit {
+            let timer = self
+                .timer
+                .map(|at| Instant::from_std(self.clock.instant(at)));
+            let timer_fires = sleep_until(timer.unwrap_or_else(Instant::now));
+            tokio::select! {
+                _ = inputs.messages.recv_many(&mut batch, BATCH) => self.handle_batch(&mut batch),
+                Some(update) = inputs.zookeeper.recv() => self.on_source_update(update),
+                update = DiscoveryWatch::next(&mut self.watch) => self.on_watch_update(update),
+                update = DiscoveryWatch::next(&mut self.next_watch) => self.on_next_watch_update(update),
+                Some(Reload { discovery, restart_required }) = inputs.reloads.recv() => {
+                    let discovery = Some(discovery);
+                    self.feed(Event::Configured { discovery, list_version: None, restart_required });
+                }
+                () = timer_fires, if timer.is_some() => {
+                    batch.extend(std::iter::from_fn(|| inputs.messages.try_recv().ok()).take(BATCH));
+                    self.on_timer(&mut batch);
+                }
+                () = shutdown.as_mut(), if !shutting_down => {
+                    shutting_down = true;
+                    self.feed(Event::ShutdownRequested);
+                }
+            }
+        }
+    }
+
+    /// The timer has fired, and these messages have come by now. They go first: a response that has
+    /// come, or a client's leaving, makes the timeout or the send needless that the timer would
+    /// cause.
+    fn on_timer(&mut self, batch: &mut Vec<LoopMessage>) {
+        // Before the messages, as they may set the timer anew.
+        self.timer = None;
+        self.handle_batch(batch);
+        self.feed(Event::TimerFired);
+    }
+
+    /// Takes messages in, in order and in one go: nothing that they start is under way before all
+    /// are known.
+    fn handle_batch(&mut self, batch: &mut Vec<LoopMessage>) {
+        for message in batch.drain(..) {
+            self.handle(message);
+        }
+    }
+
+    fn handle(&mut self, message: LoopMessage) {
+        match message {
+            LoopMessage::Event(event) => {
+                if let Event::AttemptEnded {
+                    attempt, outcome, ..
+                } = &event
+                {
+                    debug!(
+                        attempt = attempt.0,
+                        outcome = outcome.as_str(),
+                        "attempt ended"
+                    );
+                    self.attempts.remove(attempt);
+                }
+                self.feed(event);
+            }
+            LoopMessage::Submitted {
+                handle,
+                request,
+                response,
+                updates,
+            } => {
+                self.on_submitted(handle, request, response, updates);
+            }
+            // Whoever asked may have gone.
+            LoopMessage::OverviewRequested(response) => drop(response.send(self.core.overview())),
+        }
+    }
+
+    fn on_submitted(
+        &mut self,
+        handle: RequestHandle,
+        request: ClientRequest,
+        response: oneshot::Sender<ClientResponse>,
+        updates: Option<mpsc::UnboundedSender<AttemptUpdate>>,
+    ) {
+        let (job, class, since) = (request.job.clone(), request.class, self.clock.now());
+        self.clients.insert(
+            handle,
+            PendingClient {
+                response,
+                updates,
+                job,
+                class,
+                since,
+            },
+        );
+        if let Some(watch) = &self.watch {
+            watch.demand();
+        }
+        self.feed(Event::RequestSubmitted { handle, request });
+    }
+
+    fn on_source_update(
+        &mut self,
+        SourceUpdate {
+            source,
+            as_of,
+            update,
+        }: SourceUpdate,
+    ) {
+        let as_of = self.clock.timestamp(as_of.into_std());
+        self.feed(Event::EndpointListUpdated {
+            source,
+            as_of,
+            update,
+        });
+    }
+
+    /// After a move of discovery, the watch at its former address no longer confirms the list.
+    fn on_watch_update(&mut self, update: SourceUpdate) {
+        if self.next_watch.is_some() {
+            let SourceUpdate { source, update, .. } = update;
+            self.feed(Event::FormerSourceUpdated { source, update });
+        } else {
+            self.on_source_update(update);
+        }
+    }
+
+    /// The watch at the former address is dropped once the one at the new address has sent
+    /// something.
+    fn on_next_watch_update(&mut self, update: SourceUpdate) {
+        if !matches!(update.update, EndpointListUpdate::Lost(_)) {
+            self.watch = self.next_watch.take();
+        }
+        self.on_source_update(update);
+    }
+
+    fn feed(&mut self, event: Event) {
+        if let Event::ClientDisconnected { handle } = &event {
+            self.clients.remove(handle);
+        }
+        let now = self.clock.now();
+        for effect in self.core.reduce(now, event) {
+            self.carry_out(effect);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/net/src/front/admission.rs
+++ b/crates/net/src/frontend/admission.rs
@@ -1,9 +1,11 @@
-//! Admission: which connections of clients are held, for how long, and what their bytes look like on the way.
+//! Admission: which connections of clients are held, for how long, and what their bytes look like
+//! on the way.
 //!
-//! A connection has a [`Seat`] that knows what it is at. Its bytes pass a [`Tap`], which counts them before the
-//! HTTP parser sees them: a parser hides repeated lengths, and what has come behind a request. Whatever ends a
-//! connection, it is closed in one place, [`close`]: with a last word where an answer is owed, and never over bytes that
-//! nobody has read.
+//! A connection has a [`ClientConnection`] that knows what it is at. Its bytes pass a
+//! [`InspectedStream`], which counts them before the HTTP parser sees them: a parser hides repeated
+//! lengths, and what has come behind a request. Whatever ends a connection, it is closed in one
+//! place, [`close`]: with a last word where an answer is owed, and never over bytes that nobody has
+//! read.
 
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -18,13 +20,15 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// A whole request has come within this time of the connection, or of its own first byte on a later one.
+/// A whole request has come within this time of the connection, or of its own first byte on a later
+/// one.
 pub const REQUEST: Duration = Duration::from_secs(2);
 /// A client takes its answer within this time.
 const ANSWER: Duration = Duration::from_secs(10);
 /// A connection between two requests stays open for this long.
 const IDLE: Duration = Duration::from_secs(120);
-/// After the last answer a client has this long to read it, while what it still sends is thrown away.
+/// After the last answer a client has this long to read it, while what it still sends is thrown
+/// away.
 const LINGER: Duration = Duration::from_secs(1);
 /// At most so much that nobody asked for is read of a connection and thrown away.
 const UNASKED_MOST: usize = 4 << 20;
@@ -60,7 +64,7 @@
 }
 
 /// A connection's place among those that are held.
-pub struct Seat {
+pub struct ClientConnection {
     state: Mutex<State>,
     leave: Notify,
 }
@@ -76,15 +80,27 @@
     message: Message,
 }
 
-impl Seat {
-    fn new(now: Instant) -> Seat {
+impl ClientConnection {
+    fn new(now: Instant) -> ClientConnection {
         let (leave, message) = (Leave::No, Message::default());
-        let state = State { at: At::First, since: now, used: false, leave, unasked: 0, message };
-        Seat { state: Mutex::new(state), leave: Notify::new() }
+        let state = State {
+            at: At::First,
+            since: now,
+            used: false,
+            leave,
+            unasked: 0,
+            message,
+        };
+        ClientConnection {
+            state: Mutex::new(state),
+            leave: Notify::new(),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn go(&self, at: At) {
@@ -151,29 +167,36 @@
         state.at == At::First && state.message.come == 0
     }
 
-    /// What is still owed to the client when we end its connection now: a busy answer where it goes to make room or
-    /// with the process, and word that its request took too long where it does so for our patience.
+    /// What is still owed to the client when we end its connection now: a busy answer where it goes
+    /// to make room or with the process, and word that its request took too long where it does so
+    /// for our patience.
     pub fn owed(&self, end: End) -> Option<String> {
         let state = self.state();
         match (end, state.at) {
-            (End::Impatient, At::First | At::Reading) if state.message.come > 0 => {
-                Some(last_word("408 Request Timeout", "", "the request took too long"))
-            }
-            (End::Wanted | End::Stopping, At::First | At::Reading) => {
-                Some(last_word("503 Service Unavailable", &format!("retry-after: {COME_BACK}\r\n"), ""))
-            }
+            (End::Impatient, At::First | At::Reading) if state.message.come > 0 => Some(last_word(
+                "408 Request Timeout",
+                "",
+                "the request took too long",
+            )),
+            (End::Wanted | End::Stopping, At::First | At::Reading) => Some(last_word(
+                "503 Service Unavailable",
+                &format!("retry-after: {COME_BACK}\r\n"),
+                "",
+            )),
             _ => None,
         }
     }
 
-    /// Takes what came while a request is held: nobody asked for it. Ready once the client has gone.
+    /// Takes what came while a request is held: nobody asked for it. Ready once the client has
+    /// gone.
     ///
-    /// Prevents: a client that sends something behind its request, and goes, is not noticed, as the parser reads no
-    /// further while it has bytes that it can't use yet.
+    /// Prevents: a client that sends something behind its request, and goes, is not noticed, as the
+    /// parser reads no further while it has bytes that it can't use yet.
     pub fn poll_gone(&self, stream: &TcpStream, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.state().at == At::Holding {
             ready!(stream.poll_read_ready(cx))?;
-            // Only here, as each poll of a connection comes by, and hardly any finds something to read.
+            // Only here, as each poll of a connection comes by, and hardly any finds something to
+            // read.
             let mut part = [0; 16 << 10];
             match stream.try_read(&mut part) {
                 Ok(0) => return Poll::Ready(Ok(())),
@@ -232,17 +255,21 @@
 #[derive(Default)]
 struct Held {
     last: u64,
-    seats: BTreeMap<u64, Arc<Seat>>,
-    /// Those that have their last word, or are to get it at once: as many as there are spare places.
-    leaving: BTreeMap<u64, Arc<Seat>>,
+    seats: BTreeMap<u64, Arc<ClientConnection>>,
+    /// Those that have their last word, or are to get it at once: as many as there are spare
+    /// places.
+    leaving: BTreeMap<u64, Arc<ClientConnection>>,
 }
 
 impl Held {
-    /// Prevents: a flood of new connections holds as many sockets as it likes, each for as long as it takes to close.
-    fn leaves(&mut self, number: u64, seat: Arc<Seat>, most: usize) {
+    /// Prevents: a flood of new connections holds as many sockets as it likes, each for as long as
+    /// it takes to close.
+    fn leaves(&mut self, number: u64, seat: Arc<ClientConnection>, most: usize) {
         self.leaving.insert(number, seat);
         while self.leaving.len() > most {
-            let Some((_, first)) = self.leaving.pop_first() else { return };
+            let Some((_, first)) = self.leaving.pop_first() else {
+                return;
+            };
             first.send_away(Leave::AtOnce);
         }
     }
@@ -260,11 +287,11 @@
 }
 
 /// A place that is free again when dropped.
-pub struct Place {
+pub struct ConnectionPermit {
     admission: Arc<Admission>,
     number: u64,
     /// The seat.
-    pub seat: Arc<Seat>,
+    pub seat: Arc<ClientConnection>,
     /// What there was room for.
     pub room: Room,
 }
@@ -272,20 +299,31 @@
 impl Admission {
     /// Room for so many connections, and for a few more that only get a busy answer.
     pub fn new(room: usize, spare: usize) -> Arc<Admission> {
-        Arc::new(Admission { room, spare, held: Mutex::default() })
+        Arc::new(Admission {
+            room,
+            spare,
+            held: Mutex::default(),
+        })
     }
 
     fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.held
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A place for a new connection. Prevents: those who hold connections and ask for nothing turn away those
-    /// who do ask.
-    pub fn admit(self: &Arc<Admission>, now: Instant) -> Place {
+    /// A place for a new connection. Prevents: those who hold connections and ask for nothing turn
+    /// away those who do ask.
+    pub fn admit(self: &Arc<Admission>, now: Instant) -> ConnectionPermit {
         let mut held = self.held();
         if held.seats.len() >= self.room {
-            let unused = held.seats.iter().filter_map(|(&number, seat)| Some((seat.use_of(now)?, number)));
-            let first = unused.min().and_then(|(_, number)| held.seats.remove_entry(&number));
+            let unused = held
+                .seats
+                .iter()
+                .filter_map(|(&number, seat)| Some((seat.use_of(now)?, number)));
+            let first = unused
+                .min()
+                .and_then(|(_, number)| held.seats.remove_entry(&number));
             if let Some((number, seat)) = first {
                 seat.send_away(Leave::Soon);
                 held.leaves(number, seat, self.spare);
@@ -297,16 +335,21 @@
             _ => Room::None,
         };
         held.last += 1;
-        let (number, seat) = (held.last, Arc::new(Seat::new(now)));
+        let (number, seat) = (held.last, Arc::new(ClientConnection::new(now)));
         match room {
             Room::None => held.leaves(number, seat.clone(), self.spare),
             Room::Served | Room::Busy => drop(held.seats.insert(number, seat.clone())),
         }
-        Place { admission: self.clone(), number, seat, room }
+        ConnectionPermit {
+            admission: self.clone(),
+            number,
+            seat,
+            room,
+        }
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let mut held = self.admission.held();
         held.seats.remove(&self.number);
@@ -320,20 +363,22 @@
 /// An answer that no parser makes any more, as the last thing on a connection.
 fn last_word(status: &str, header: &str, text: &str) -> String {
     let length = text.len();
-    format!("HTTP/1.1 {status}\r\n{header}connection: close\r\ncontent-length: {length}\r\n\r\n{text}")
+    format!(
+        "HTTP/1.1 {status}\r\n{header}connection: close\r\ncontent-length: {length}\r\n\r\n{text}"
+    )
 }
 
-/// Closes a connection whose parser has let go of it: a last word, the end of our sending, and then whatever the client
-/// still sends is read and thrown away until it has closed too.
+/// Closes a connection whose parser has let go of it: a last word, the end of our sending, and then
+/// whatever the client still sends is read and thrown away until it has closed too.
 ///
-/// Prevents: a close over unread bytes resets the connection, and the answer is lost before it is read; and what is
-/// read after the end of our sending is sent on, though no answer can come back.
-pub async fn close(stream: &TcpStream, seat: &Seat, last_word: Option<String>) {
+/// Prevents: a close over unread bytes resets the connection, and the answer is lost before it is
+/// read; and what is read after the end of our sending is sent on, though no answer can come back.
+pub async fn close(stream: &TcpStream, seat: &ClientConnection, last_word: Option<String>) {
     seat.go(At::Closing);
     let socket = SockRef::from(stream);
     if let Some(text) = last_word {
-        // Where not even this can be written, the client reads nothing. It is no matter of waiting: the socket may not
-        // have been looked at yet, and its place may be wanted at once.
+        // Where not even this can be written, the client reads nothing. It is no matter of waiting:
+        // the socket may not have been looked at yet, and its place may be wanted at once.
         let _ = socket.send(text.as_bytes());
     }
     let _ = socket.shutdown(Shutdown::Write);
@@ -381,9 +426,10 @@
                 continue;
             }
             if byte != b'\n' {
-                // Prevents: a target with a fragment or raw bytes is passed on in another form than it came in.
-                self.odd |=
-                    self.lines == 0 && (byte == b'#' || !(b' '..=b'~').contains(&byte) && byte != b'\r');
+                // Prevents: a target with a fragment or raw bytes is passed on in another form than
+                // it came in.
+                self.odd |= self.lines == 0
+                    && (byte == b'#' || !(b' '..=b'~').contains(&byte) && byte != b'\r');
                 self.length += usize::from(byte != b'\r');
                 if self.begins.len() < BEGINNING {
                     self.begins.push(byte.to_ascii_lowercase());
@@ -409,7 +455,11 @@
             // It was read along with the one before it.
             Message { head: None, .. } => Some("a request before the answer to the last one"),
             Message { odd: true, .. } => Some("bytes in the path"),
-            Message { lengths: 1.., coded: true, .. } => Some("Content-Length beside Transfer-Encoding"),
+            Message {
+                lengths: 1..,
+                coded: true,
+                ..
+            } => Some("Content-Length beside Transfer-Encoding"),
             Message { lengths: 2.., .. } => Some("Content-Length twice"),
             _ => None,
         }
@@ -421,20 +471,24 @@
 }
 
 /// A connection whose bytes are watched on their way to the HTTP parser.
-pub struct Tap {
+pub struct InspectedStream {
     stream: Arc<TcpStream>,
-    seat: Arc<Seat>,
+    seat: Arc<ClientConnection>,
 }
 
-impl Tap {
+impl InspectedStream {
     /// Watches a connection.
-    pub fn new(stream: Arc<TcpStream>, seat: Arc<Seat>) -> Tap {
-        Tap { stream, seat }
+    pub fn new(stream: Arc<TcpStream>, seat: Arc<ClientConnection>) -> InspectedStream {
+        InspectedStream { stream, seat }
     }
 }
 
-impl AsyncRead for Tap {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+impl AsyncRead for InspectedStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         if self.seat.state().at == At::Holding {
             return self.seat.poll_gone(&self.stream, cx);
         }
@@ -457,7 +511,7 @@
     }
 }
 
-impl Tap {
+impl InspectedStream {
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -473,8 +527,12 @@
     }
 }
 
-impl AsyncWrite for Tap {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+impl AsyncWrite for InspectedStream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_with(cx, |stream| stream.try_write(buf))
     }
 
--- a/crates/net/src/front/admission/tests.rs
+++ b/crates/net/src/frontend/admission/tests.rs
@@ -14,7 +14,10 @@
 fn what_frames_a_body_twice_and_what_comes_behind_it_is_seen() {
     let head = |lines: &str| format!("\r\nPOST /c/k HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
     assert_eq!(message(&head("Content-Length: 2\r\n")).head_fault(), None);
-    assert_eq!(message(&head("TRANSFER-encoding: chunked\r\n")).head_fault(), None);
+    assert_eq!(
+        message(&head("TRANSFER-encoding: chunked\r\n")).head_fault(),
+        None
+    );
     for lines in [
         "Content-Length: 2\r\ncontent-length: 2\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 2\r\n",
@@ -22,16 +25,24 @@
     ] {
         assert!(message(&head(lines)).head_fault().is_some(), "{lines}");
     }
-    assert!(message("POST /c/k#f HTTP/1.1\r\n\r\n").head_fault().is_some());
-    assert!(message("POST /c/\u{e9} HTTP/1.1\r\n\r\n").head_fault().is_some());
+    assert!(
+        message("POST /c/k#f HTTP/1.1\r\n\r\n")
+            .head_fault()
+            .is_some()
+    );
+    assert!(
+        message("POST /c/\u{e9} HTTP/1.1\r\n\r\n")
+            .head_fault()
+            .is_some()
+    );
     assert!(message("POST /c/k HTTP/1.1\r\nHost").head_fault().is_some());
     let whole = head("Content-Length: 2\r\n") + "ab";
     assert!(!message(&whole).excess(Some(2)));
     assert!(message(&(whole + "POST")).excess(Some(2)));
 }
 
-// Guards against those who hold connections and ask for nothing turning away those who do ask; and against
-// a request that is held, or has just begun, losing its connection to make room.
+// Guards against those who hold connections and ask for nothing turning away those who do ask; and
+// against a request that is held, or has just begun, losing its connection to make room.
 #[test]
 fn room_is_made_by_closing_what_holds_no_request() {
     let (admission, start) = (Admission::new(3, 1), Instant::now());
@@ -59,5 +70,10 @@
     let last = admission.admit(Instant::now() + Duration::from_secs(5));
     last.seat.holds();
     assert_eq!(last.room, Room::Served);
-    assert_eq!(admission.admit(Instant::now() + Duration::from_secs(9)).room, Room::Busy);
+    assert_eq!(
+        admission
+            .admit(Instant::now() + Duration::from_secs(9))
+            .room,
+        Room::Busy
+    );
 }
--- a/crates/net/src/front/gearman/codec.rs
+++ b/crates/net/src/frontend/gearman/codec.rs
@@ -16,31 +16,88 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)] // the protocol words every packet
 pub enum Packet {
-    CanDo { function: String },
-    CantDo { function: String },
+    CanDo {
+        function: String,
+    },
+    CantDo {
+        function: String,
+    },
     ResetAbilities,
     PreSleep,
     Noop,
-    SubmitJob { background: bool, function: String, unique: String, workload: Bytes },
-    JobCreated { handle: String },
-    GrabJob { with_unique: bool },
+    SubmitJob {
+        background: bool,
+        function: String,
+        unique: String,
+        workload: Bytes,
+    },
+    JobCreated {
+        handle: String,
+    },
+    GrabJob {
+        with_unique: bool,
+    },
     NoJob,
-    JobAssign { handle: String, function: String, unique: Option<String>, workload: Bytes },
-    WorkStatus { handle: String, done: u64, of: u64 },
-    WorkComplete { handle: String, data: Bytes },
-    WorkFail { handle: String },
-    WorkException { handle: String, data: Bytes },
-    WorkData { handle: String, data: Bytes },
-    WorkWarning { handle: String, data: Bytes },
-    GetStatus { handle: String },
-    StatusRes { handle: String, known: bool, running: bool, done: u64, of: u64 },
-    EchoReq { data: Bytes },
-    EchoRes { data: Bytes },
-    Error { code: &'static str, text: String },
-    SetClientId { id: String },
+    JobAssign {
+        handle: String,
+        function: String,
+        unique: Option<String>,
+        workload: Bytes,
+    },
+    WorkStatus {
+        handle: String,
+        done: u64,
+        of: u64,
+    },
+    WorkComplete {
+        handle: String,
+        data: Bytes,
+    },
+    WorkFail {
+        handle: String,
+    },
+    WorkException {
+        handle: String,
+        data: Bytes,
+    },
+    WorkData {
+        handle: String,
+        data: Bytes,
+    },
+    WorkWarning {
+        handle: String,
+        data: Bytes,
+    },
+    GetStatus {
+        handle: String,
+    },
+    StatusRes {
+        handle: String,
+        known: bool,
+        running: bool,
+        done: u64,
+        of: u64,
+    },
+    EchoReq {
+        data: Bytes,
+    },
+    EchoRes {
+        data: Bytes,
+    },
+    Error {
+        code: &'static str,
+        text: String,
+    },
+    SetClientId {
+        id: String,
+    },
     AllYours,
-    OptionReq { option: String },
-    OptionRes { option: String },
+    OptionReq {
+        option: String,
+    },
+    OptionRes {
+        option: String,
+    },
 }
 
 /// What a peer sends.
@@ -134,7 +191,9 @@
 
     fn text(&self, part: &[u8]) -> Result<String, Malformed> {
         match std::str::from_utf8(part) {
-            Ok(text) if part.len() <= NAME_MOST && !text.contains(char::is_control) => Ok(text.to_owned()),
+            Ok(text) if part.len() <= NAME_MOST && !text.contains(char::is_control) => {
+                Ok(text.to_owned())
+            }
             _ => Err(self.bad()),
         }
     }
@@ -156,7 +215,8 @@
     /// A name that must not be empty.
     fn name(self) -> Result<String, Malformed> {
         let bad = self.bad();
-        self.last().and_then(|name| if name.is_empty() { Err(bad) } else { Ok(name) })
+        self.last()
+            .and_then(|name| if name.is_empty() { Err(bad) } else { Ok(name) })
     }
 
     fn number(&self, text: &str) -> Result<u64, Malformed> {
@@ -167,14 +227,18 @@
 fn decode(kind: u32, body: Bytes) -> Result<Packet, Malformed> {
     let mut a = Arguments { kind, rest: body };
     Ok(match kind {
-        1 => Packet::CanDo { function: a.name()? },
+        1 => Packet::CanDo {
+            function: a.name()?,
+        },
         // CAN_DO_TIMEOUT: the time that a job has comes from its class, as for every next hop.
         23 => {
             let function = a.next()?;
             a.number(std::str::from_utf8(&a.rest).unwrap_or_default())?;
             Packet::CanDo { function }
         }
-        2 => Packet::CantDo { function: a.name()? },
+        2 => Packet::CantDo {
+            function: a.name()?,
+        },
         3 => Packet::ResetAbilities,
         4 => Packet::PreSleep,
         7 | 21 | 33 | 18 | 32 | 34 => {
@@ -182,20 +246,40 @@
             if function.is_empty() {
                 return Err(a.bad());
             }
-            Packet::SubmitJob { background: matches!(kind, 18 | 32 | 34), function, unique, workload: a.rest }
+            Packet::SubmitJob {
+                background: matches!(kind, 18 | 32 | 34),
+                function,
+                unique,
+                workload: a.rest,
+            }
         }
         9 => Packet::GrabJob { with_unique: false },
         30 => Packet::GrabJob { with_unique: true },
         12 => {
             let (handle, done) = (a.next()?, a.next()?);
-            let (done, of) = (a.number(&done)?, a.number(std::str::from_utf8(&a.rest).unwrap_or_default())?);
+            let (done, of) = (
+                a.number(&done)?,
+                a.number(std::str::from_utf8(&a.rest).unwrap_or_default())?,
+            );
             Packet::WorkStatus { handle, done, of }
         }
-        13 => Packet::WorkComplete { handle: a.next()?, data: a.rest },
+        13 => Packet::WorkComplete {
+            handle: a.next()?,
+            data: a.rest,
+        },
         14 => Packet::WorkFail { handle: a.name()? },
-        25 => Packet::WorkException { handle: a.next()?, data: a.rest },
-        28 => Packet::WorkData { handle: a.next()?, data: a.rest },
-        29 => Packet::WorkWarning { handle: a.next()?, data: a.rest },
+        25 => Packet::WorkException {
+            handle: a.next()?,
+            data: a.rest,
+        },
+        28 => Packet::WorkData {
+            handle: a.next()?,
+            data: a.rest,
+        },
+        29 => Packet::WorkWarning {
+            handle: a.next()?,
+            data: a.rest,
+        },
         15 => Packet::GetStatus { handle: a.name()? },
         16 => Packet::EchoReq { data: a.rest },
         22 => Packet::SetClientId { id: a.last()? },
@@ -215,22 +299,46 @@
             Packet::Noop => (6, vec![]),
             Packet::JobCreated { handle } => (8, vec![handle.as_bytes()]),
             Packet::NoJob => (10, vec![]),
-            Packet::JobAssign { handle, function, unique: None, workload } => {
-                (11, vec![handle.as_bytes(), function.as_bytes(), workload])
-            }
-            Packet::JobAssign { handle, function, unique: Some(unique), workload } => {
-                (31, vec![handle.as_bytes(), function.as_bytes(), unique.as_bytes(), workload])
-            }
+            Packet::JobAssign {
+                handle,
+                function,
+                unique: None,
+                workload,
+            } => (11, vec![handle.as_bytes(), function.as_bytes(), workload]),
+            Packet::JobAssign {
+                handle,
+                function,
+                unique: Some(unique),
+                workload,
+            } => (
+                31,
+                vec![
+                    handle.as_bytes(),
+                    function.as_bytes(),
+                    unique.as_bytes(),
+                    workload,
+                ],
+            ),
             Packet::WorkStatus { handle, done, of } => {
                 let (done, of) = (done.to_string(), of.to_string());
-                return put(out, 12, &[handle.as_bytes(), done.as_bytes(), of.as_bytes()]);
+                return put(
+                    out,
+                    12,
+                    &[handle.as_bytes(), done.as_bytes(), of.as_bytes()],
+                );
             }
             Packet::WorkComplete { handle, data } => (13, vec![handle.as_bytes(), data]),
             Packet::WorkFail { handle } => (14, vec![handle.as_bytes()]),
             Packet::WorkException { handle, data } => (25, vec![handle.as_bytes(), data]),
             Packet::WorkData { handle, data } => (28, vec![handle.as_bytes(), data]),
             Packet::WorkWarning { handle, data } => (29, vec![handle.as_bytes(), data]),
-            Packet::StatusRes { handle, known, running, done, of } => {
+            Packet::StatusRes {
+                handle,
+                known,
+                running,
+                done,
+                of,
+            } => {
                 let figures = status(known, running, done, of);
                 let mut arguments = vec![handle.as_bytes()];
                 arguments.extend(figures.iter().map(|f| f.as_bytes()));
--- a/crates/net/src/front/gearman/mod.rs
+++ b/crates/net/src/frontend/gearman/mod.rs
@@ -1,22 +1,22 @@
 //! The Gearman front: hotel connectors written for Gearman meet the same core as HTTP clients.
 //!
-//! A connection may be a client, a worker, both, or somebody who types admin commands. Clients' jobs are
-//! transactions like any other; a session of a worker is a next hop like any other.
+//! A connection may be a client, a worker, both, or somebody who types admin commands. Clients'
+//! jobs are transactions like any other; a session of a worker is a next hop like any other.
 
 mod clients;
 pub mod codec;
 pub mod workers;
 
 use crate::config::{Function, GearmanConfig};
-use crate::front::Gate;
-use crate::front::admission::{self, Admission, Room, Seat};
-use crate::front::http::{Closing, closed};
+use crate::frontend::EventSender;
+use crate::frontend::admission::{self, Admission, ClientConnection, Room};
+use crate::frontend::http::{Closing, closed};
 use bytes::BytesMut;
 use clients::Clients;
 use codec::{Codec, Malformed, Packet, Said};
-use pumiceway_core::{Ending, News};
-use pumiceway_decisions::api::{ClassId, Micros};
-use pumiceway_decisions::settings::Conf;
+use pumiceway_core::{AttemptOutcome, AttemptUpdate};
+use pumiceway_decisions::api::{ClassId, Timestamp};
+use pumiceway_decisions::settings::DeploymentSettings;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 use tokio_util::codec::{Decoder, FramedRead};
 use tracing::{error, info, warn};
-use workers::Workers;
+use workers::WorkerSessions;
 
 /// Packets that may wait for a peer to read them; one that reads too slowly is cut off.
 const OUTBOX: usize = 1_024;
@@ -80,22 +80,27 @@
 
 /// The front.
 #[derive(Clone)]
-pub struct Gearman {
-    gate: Gate,
-    conf: Arc<Conf>,
+pub struct GearmanFrontend {
+    events: EventSender,
+    settings: Arc<DeploymentSettings>,
     functions: Arc<Functions>,
-    workers: Workers,
+    workers: WorkerSessions,
     jobs: Arc<AtomicUsize>,
     limits: (usize, usize),
     statuses: clients::Statuses,
 }
 
-impl Gearman {
+impl GearmanFrontend {
     /// A front over these workers.
-    pub fn new(gate: Gate, conf: Arc<Conf>, config: GearmanConfig, workers: Workers) -> Gearman {
-        Gearman {
-            gate,
-            conf,
+    pub fn new(
+        events: EventSender,
+        settings: Arc<DeploymentSettings>,
+        config: GearmanConfig,
+        workers: WorkerSessions,
+    ) -> GearmanFrontend {
+        GearmanFrontend {
+            events,
+            settings,
             limits: (config.connections, config.jobs),
             functions: Arc::new(Functions(config.functions)),
             workers,
@@ -104,8 +109,14 @@
         }
     }
 
-    /// Serves connections until told to close, and then until the clients among them have their answers.
-    pub async fn serve(self, listener: TcpListener, mut closing: Closing, now: impl Fn() -> Micros) {
+    /// Serves connections until told to close, and then until the clients among them have their
+    /// answers.
+    pub async fn serve(
+        self,
+        listener: TcpListener,
+        mut closing: Closing,
+        now: impl Fn() -> Timestamp,
+    ) {
         let admission = Admission::new(self.limits.0, 0);
         let (gone, mut all_gone) = mpsc::channel::<()>(1);
         let mut session = 0;
@@ -130,7 +141,16 @@
             let (front, gone, closing) = (self.clone(), gone.clone(), closing.clone());
             let opened = now();
             tokio::spawn(async move {
-                front.session((session, opened), stream, &peer.to_string(), closing, gone, &place.seat).await;
+                front
+                    .session(
+                        (session, opened),
+                        stream,
+                        &peer.to_string(),
+                        closing,
+                        gone,
+                        &place.seat,
+                    )
+                    .await;
                 drop(place);
             });
         }
@@ -140,12 +160,12 @@
 
     async fn session(
         &self,
-        (session, opened): (u64, Micros),
+        (session, opened): (u64, Timestamp),
         stream: TcpStream,
         peer: &str,
         mut closing: Closing,
         gone: mpsc::Sender<()>,
-        seat: &Seat,
+        seat: &ClientConnection,
     ) {
         let _ = stream.set_nodelay(true);
         // Prevents: a worker whose machine vanished without a word stays in the route set.
@@ -157,7 +177,11 @@
         let (reading, mut writing) = stream.into_split();
         let (packets, mut queue) = mpsc::channel(OUTBOX);
         let overrun = Arc::new(tokio::sync::Notify::new());
-        let outbox = Outbox { packets, overrun: overrun.clone(), peer: peer.into() };
+        let outbox = Outbox {
+            packets,
+            overrun: overrun.clone(),
+            peer: peer.into(),
+        };
         let writer = tokio::spawn(async move {
             let mut buffer = BytesMut::new();
             while let Some(wire) = queue.recv().await {
@@ -165,7 +189,8 @@
                     Wire::Packet(packet) => packet.encode(&mut buffer),
                     Wire::Text(text) => buffer.extend_from_slice(text.as_bytes()),
                 }
-                let written = tokio::time::timeout(WRITE_PATIENCE, writing.write_all_buf(&mut buffer)).await;
+                let written =
+                    tokio::time::timeout(WRITE_PATIENCE, writing.write_all_buf(&mut buffer)).await;
                 if !matches!(written, Ok(Ok(()))) {
                     return;
                 }
@@ -180,7 +205,8 @@
         let mut looks = tokio::time::interval(LOOKS);
         loop {
             if shutting && clients.idle() {
-                // A worker is kept, for jobs that were taken may need it; nobody waits for it to leave.
+                // A worker is kept, for jobs that were taken may need it; nobody waits for it to
+                // leave.
                 if !self.workers.has(session) {
                     break;
                 }
@@ -216,11 +242,16 @@
             match next {
                 None => break,
                 Some(Ok(Said::Line(line))) => outbox.put(Wire::Text(self.admin(&line).await)),
-                Some(Ok(Said::Packet(packet))) => self.packet(session, opened, &outbox, &mut clients, packet),
+                Some(Ok(Said::Packet(packet))) => {
+                    self.packet(session, opened, &outbox, &mut clients, packet)
+                }
                 Some(Err(Malformed::Io(_))) => break,
                 Some(Err(e)) => {
                     info!(front = "gearman", peer, why = %e, "malformed, and closed");
-                    outbox.say(Packet::Error { code: "MALFORMED", text: e.to_string() });
+                    outbox.say(Packet::Error {
+                        code: "MALFORMED",
+                        text: e.to_string(),
+                    });
                     break;
                 }
             }
@@ -233,51 +264,75 @@
         drop(gone);
     }
 
-    fn packet(&self, session: u64, opened: Micros, outbox: &Outbox, clients: &mut Clients, packet: Packet) {
+    fn packet(
+        &self,
+        session: u64,
+        opened: Timestamp,
+        outbox: &Outbox,
+        clients: &mut Clients,
+        packet: Packet,
+    ) {
         let unknown_handle = |known: bool| {
             if !known {
-                outbox.say(Packet::Error { code: "JOB_NOT_FOUND", text: "no such job here".to_owned() });
+                outbox.say(Packet::Error {
+                    code: "JOB_NOT_FOUND",
+                    text: "no such job here".to_owned(),
+                });
             }
         };
         let workers = &self.workers;
         match packet {
             Packet::CanDo { function } => match self.functions.class(&function) {
                 Some(class) => workers.can_do(session, opened, outbox, class, function),
-                None => outbox.say(Packet::Error { code: "UNKNOWN_FUNCTION", text: function }),
+                None => outbox.say(Packet::Error {
+                    code: "UNKNOWN_FUNCTION",
+                    text: function,
+                }),
             },
             Packet::CantDo { function } => workers.cant_do(session, Some(&function)),
             Packet::ResetAbilities => workers.cant_do(session, None),
             Packet::PreSleep => workers.sleep(session),
             Packet::GrabJob { with_unique } => outbox.say(workers.grab(session, with_unique)),
             Packet::WorkStatus { handle, done, of } => {
-                unknown_handle(workers.news(session, &handle, workers::share(done, of)));
+                unknown_handle(workers.update(session, &handle, workers::share(done, of)));
             }
             Packet::WorkData { handle, data } => {
-                unknown_handle(workers.news(session, &handle, News::Data(data)));
+                unknown_handle(workers.update(session, &handle, AttemptUpdate::Data(data)));
             }
             Packet::WorkWarning { handle, data } => {
-                unknown_handle(workers.news(session, &handle, News::Warning(data)));
+                unknown_handle(workers.update(session, &handle, AttemptUpdate::Warning(data)));
             }
             Packet::WorkComplete { handle, data } if data.len() > codec::WORKLOAD_MOST => {
-                outbox.say(Packet::Error { code: "TOO_LARGE", text: "the result is too large".to_owned() });
-                unknown_handle(workers.ended(session, &handle, Ending::Error));
+                outbox.say(Packet::Error {
+                    code: "TOO_LARGE",
+                    text: "the result is too large".to_owned(),
+                });
+                unknown_handle(workers.ended(session, &handle, AttemptOutcome::Error));
             }
             Packet::WorkComplete { handle, data } => {
-                unknown_handle(workers.ended(session, &handle, Ending::Served(data)));
+                unknown_handle(workers.ended(session, &handle, AttemptOutcome::Served(data)));
+            }
+            Packet::WorkFail { handle } => {
+                unknown_handle(workers.ended(session, &handle, AttemptOutcome::Error))
             }
-            Packet::WorkFail { handle } => unknown_handle(workers.ended(session, &handle, Ending::Error)),
             Packet::WorkException { handle, data } => {
                 // Its WORK_FAIL, which ends the job, follows.
-                unknown_handle(workers.news(session, &handle, News::Warning(data)));
+                unknown_handle(workers.update(session, &handle, AttemptUpdate::Warning(data)));
             }
             Packet::SetClientId { id } => workers.set_id(session, id),
-            Packet::SubmitJob { background, function, unique, workload } => {
+            Packet::SubmitJob {
+                background,
+                function,
+                unique,
+                workload,
+            } => {
                 clients.submit(background, &function, &unique, workload);
             }
             Packet::GetStatus { handle } => outbox.say(self.statuses.of(handle)),
             Packet::EchoReq { data } => outbox.say(Packet::EchoRes { data }),
             Packet::OptionReq { option } => clients.option(option),
-            // ALL_YOURS tells nothing that matters here; what only this side sends can't be decoded.
+            // ALL_YOURS tells nothing that matters here; what only this side sends can't be
+            // decoded.
             _ => {}
         }
     }
@@ -290,25 +345,33 @@
             "getpid" => format!("OK {}\n", std::process::id()),
             "workers" => format!("{}.\n", self.workers.lines()),
             "status" => {
-                let overview = self.gate.overview().await;
+                let overview = self.events.overview().await;
                 let line = |(name, f): (&String, &Function)| {
-                    let (all, running) = overview.classes.get(f.class.0).copied().unwrap_or_default();
+                    let class = overview.classes.get(f.class.0).copied().unwrap_or_default();
                     let able = self.workers.able(&self.functions, name);
-                    format!("{name}\t{all}\t{running}\t{able}\n")
+                    format!("{name}\t{}\t{}\t{able}\n", class.open, class.in_flight)
                 };
-                format!("{}.\n", self.functions.0.iter().map(line).collect::<String>())
+                format!(
+                    "{}.\n",
+                    self.functions.0.iter().map(line).collect::<String>()
+                )
             }
             "routes" => {
-                let overview = self.gate.overview().await;
+                let overview = self.events.overview().await;
                 let mut lines = String::new();
-                for hop in &overview.hops {
-                    let zone = self.conf.zones.get(hop.zone.0).map_or("-", String::as_str);
-                    let _ = writeln!(lines, "{}\t{:?}\t{zone}", hop.name, hop.state);
+                for endpoint in &overview.endpoints {
+                    let zone = self
+                        .settings
+                        .zones
+                        .get(endpoint.zone.0)
+                        .map_or("-", String::as_str);
+                    let _ = writeln!(lines, "{}\t{:?}\t{zone}", endpoint.name, endpoint.state);
                 }
                 format!("{lines}.\n")
             }
-            "kept" => format!("OK {}\n", self.gate.overview().await.kept),
-            // One who can reach this port may look, not stop the dispatcher: that is for its supervisor.
+            "kept" => format!("OK {}\n", self.events.overview().await.unique_ids),
+            // One who can reach this port may look, not stop the dispatcher: that is for its
+            // supervisor.
             "shutdown" => "ERR DENIED stop+the+process+with+SIGTERM\n".to_owned(),
             _ => "ERR UNKNOWN_COMMAND unknown+command\n".to_owned(),
         }
@@ -319,5 +382,6 @@
 async fn next(
     said: &mut FramedRead<tokio::net::tcp::OwnedReadHalf, Codec>,
 ) -> Option<Result<<Codec as Decoder>::Item, Malformed>> {
-    std::future::poll_fn(|cx| futures_core::Stream::poll_next(std::pin::Pin::new(&mut *said), cx)).await
+    std::future::poll_fn(|cx| futures_core::Stream::poll_next(std::pin::Pin::new(&mut *said), cx))
+        .await
 }
--- a/crates/net/src/front/http.rs
+++ b/crates/net/src/frontend/http.rs
@@ -1,7 +1,9 @@
 //! The HTTP front: the platform's protocol, thin, on axum.
 
-use super::Gate;
-use super::admission::{self, Admission, COME_BACK, End, Place, Room, Seat, Tap};
+use super::EventSender;
+use super::admission::{
+    self, Admission, COME_BACK, ClientConnection, ConnectionPermit, End, InspectedStream, Room,
+};
 use crate::config::Sockets;
 use axum::Router;
 use axum::body::Body;
@@ -13,9 +15,9 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use pumiceway_core::{Answer, Job, Rejection, Transaction};
-use pumiceway_decisions::api::{ClassId, Micros};
-use pumiceway_decisions::settings::{Conf, Semantics};
+use pumiceway_core::{ClientRequest, ClientResponse, Job, Rejection};
+use pumiceway_decisions::api::ClassId;
+use pumiceway_decisions::settings::{DeploymentSettings, RepeatSemantics};
 use std::future::poll_fn;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,7 +33,8 @@
 pub const BODY_MOST: usize = 64 << 10;
 /// A head holds at most this much.
 const HEAD_MOST: usize = 16 << 10;
-/// So long before patience with a connection ends, a body that has not come whole is given up with an answer.
+/// So long before patience with a connection ends, a body that has not come whole is given up with
+/// an answer.
 const LAST_WORD: Duration = Duration::from_millis(200);
 /// The system keeps at most so many connections for us that we have not accepted.
 const BACKLOG: usize = 1_024;
@@ -40,11 +43,11 @@
 
 /// What the front needs.
 #[derive(Clone)]
-pub struct Front {
+pub struct HttpFrontend {
     /// The way into the core.
-    pub gate: Gate,
+    pub events: EventSender,
     /// The classes.
-    pub conf: Arc<Conf>,
+    pub settings: Arc<DeploymentSettings>,
     /// Requests can be served.
     pub ready: Arc<AtomicBool>,
 }
@@ -62,7 +65,7 @@
 /// Set once the fronts are to close.
 pub type Closing = watch::Receiver<bool>;
 
-impl Front {
+impl HttpFrontend {
     fn router(self) -> Router {
         Router::new()
             .route("/-/ready", get(ready))
@@ -80,13 +83,20 @@
         let admission = Admission::new(sockets.inbound, sockets.spare);
         let (gone, mut all_gone) = tokio::sync::mpsc::channel::<()>(1);
         let serve = |stream: TcpStream, closing: &Closing| {
-            let (place, closing, gone) = (admission.admit(Instant::now()), closing.clone(), gone.clone());
+            let (place, closing, gone) = (
+                admission.admit(Instant::now()),
+                closing.clone(),
+                gone.clone(),
+            );
             let router = match place.room {
                 Room::Served => Some(router.clone()),
                 // Prevents: clients beyond what can be served take the sockets of those within.
                 Room::Busy => {
                     let most = sockets.inbound;
-                    warn!(front = "http", most, "too many connections: this one gets a busy answer");
+                    warn!(
+                        front = "http",
+                        most, "too many connections: this one gets a busy answer"
+                    );
                     Some(Router::new().fallback(too_many))
                 }
                 Room::None => {
@@ -113,8 +123,8 @@
                 () = closed(&mut closing) => break,
             }
         }
-        // Prevents: a client whose connection the system has accepted for us, and that may have sent its request on it,
-        // is reset with the listener.
+        // Prevents: a client whose connection the system has accepted for us, and that may have
+        // sent its request on it, is reset with the listener.
         for stream in left_behind(listener) {
             serve(stream, &closing);
         }
@@ -125,7 +135,9 @@
 
 /// The connections that wait to be accepted, once no more are to come.
 fn left_behind(listener: TcpListener) -> Vec<TcpStream> {
-    let Ok(listener) = listener.into_std() else { return Vec::new() };
+    let Ok(listener) = listener.into_std() else {
+        return Vec::new();
+    };
     let waiting = std::iter::from_fn(|| listener.accept().ok()).take(BACKLOG);
     waiting
         .filter_map(|(stream, _)| {
@@ -141,7 +153,12 @@
 }
 
 /// Serves a connection to its end, whatever ends it, and closes it: nothing else does.
-async fn serve_connection(stream: TcpStream, router: Option<Router>, place: Place, closing: Closing) {
+async fn serve_connection(
+    stream: TcpStream,
+    router: Option<Router>,
+    place: ConnectionPermit,
+    closing: Closing,
+) {
     let _ = stream.set_nodelay(true);
     let stream = Arc::new(stream);
     let end = match router {
@@ -155,7 +172,7 @@
 async fn serve_requests(
     stream: &Arc<TcpStream>,
     router: Router,
-    seat: &Arc<Seat>,
+    seat: &Arc<ClientConnection>,
     mut closing: Closing,
 ) -> End {
     let service = service_fn(|request: hyper::Request<Incoming>| {
@@ -166,14 +183,18 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .max_buf_size(HEAD_MOST)
-        .serve_connection(TokioIo::new(Tap::new(stream.clone(), seat.clone())), service);
+        .serve_connection(
+            TokioIo::new(InspectedStream::new(stream.clone(), seat.clone())),
+            service,
+        );
     let mut connection = std::pin::pin!(connection);
     let mut patience = std::pin::pin!(sleep_until(seat.due()));
     let mut wanted = std::pin::pin!(seat.wanted());
     let mut closed = std::pin::pin!(closed(&mut closing));
     let mut open = true;
     poll_fn(|cx| {
-        // An error here is a client that broke off, or that doesn't speak HTTP: hyper has answered it.
+        // An error here is a client that broke off, or that doesn't speak HTTP: hyper has answered
+        // it.
         if connection.as_mut().poll(cx).is_ready() {
             return Poll::Ready(End::Over);
         }
@@ -204,7 +225,7 @@
     .await
 }
 
-async fn ready(State(front): State<Front>) -> StatusCode {
+async fn ready(State(front): State<HttpFrontend>) -> StatusCode {
     match front.ready.load(Ordering::Relaxed) {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
@@ -216,28 +237,41 @@
 }
 
 async fn too_many() -> impl IntoResponse {
-    let headers = [(header::RETRY_AFTER, COME_BACK), (header::CONNECTION, "close")];
-    (StatusCode::SERVICE_UNAVAILABLE, headers, "too many connections")
+    let headers = [
+        (header::RETRY_AFTER, COME_BACK),
+        (header::CONNECTION, "close"),
+    ];
+    (
+        StatusCode::SERVICE_UNAVAILABLE,
+        headers,
+        "too many connections",
+    )
 }
 
 async fn submit(
-    State(front): State<Front>,
-    Extension(seat): Extension<Arc<Seat>>,
+    State(front): State<HttpFrontend>,
+    Extension(seat): Extension<Arc<ClientConnection>>,
     request: Request,
 ) -> Result<Response, Bad> {
     let length = request.body().size_hint().exact();
-    let transaction = read(&front.conf, &seat, request).await?;
+    let transaction = read(&front.settings, &seat, request).await?;
     seat.holds();
-    let mut response = respond(front.gate.submit(transaction, None).answer().await);
+    let mut response = respond(front.events.submit(transaction, None).response().await);
     // Prevents: what came while the request was held is taken for the next one.
     if seat.excess(length) {
-        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
 /// A transaction from a request.
-async fn read(conf: &Conf, seat: &Seat, request: Request) -> Result<Transaction, Bad> {
+async fn read(
+    settings: &DeploymentSettings,
+    seat: &ClientConnection,
+    request: Request,
+) -> Result<ClientRequest, Bad> {
     let malformed = |what| Bad(StatusCode::BAD_REQUEST, what);
     if let Some(fault) = seat.head_fault() {
         return Err(malformed(fault));
@@ -246,41 +280,59 @@
         return Err(Bad(StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST"));
     }
     let uri = request.uri();
-    let path = uri.path_and_query().map_or(uri.path(), |p| p.as_str()).to_owned();
-    let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let class = conf.class(name).ok_or(malformed("unknown class"))?;
+    let path = uri
+        .path_and_query()
+        .map_or(uri.path(), |p| p.as_str())
+        .to_owned();
+    let name = uri
+        .path()
+        .trim_start_matches('/')
+        .split('/')
+        .next()
+        .unwrap_or_default();
+    let class = settings.class(name).ok_or(malformed("unknown class"))?;
     let headers = request.headers();
     if header(headers, "x-lane")?.is_some_and(|lane| lane != name) {
         return Err(malformed("X-Lane and path name two classes"));
     }
-    let id = header(headers, "x-txn")?.filter(|id| well_formed(id)).ok_or(malformed("X-Txn"))?.to_owned();
-    let repeat_key = header(headers, "idempotency-key")?.map(str::to_owned);
-    // Prevents: a repeat of it runs again wherever it is sent, as nobody can tell it from another job.
-    let keyed = matches!(conf.lanes[class].semantics, Semantics::IdempotencyKey);
-    if keyed && repeat_key.as_ref().is_none_or(String::is_empty) {
+    let id = header(headers, "x-txn")?
+        .filter(|id| well_formed(id))
+        .ok_or(malformed("X-Txn"))?
+        .to_owned();
+    let idempotency_key = header(headers, "idempotency-key")?.map(str::to_owned);
+    // Prevents: a repeat of it runs again wherever it is sent, as nobody can tell it from another
+    // job.
+    let keyed = matches!(settings.classes[class].repeats, RepeatSemantics::Keyed);
+    if keyed && idempotency_key.as_ref().is_none_or(String::is_empty) {
         return Err(malformed("Idempotency-Key"));
     }
     let left = header(headers, "x-remaining-ms")?.ok_or(malformed("X-Remaining-Ms"))?;
     if left.is_empty() || !left.bytes().all(|b| b.is_ascii_digit()) {
         return Err(malformed("X-Remaining-Ms"));
     }
-    let left = left.parse().unwrap_or(LEFT_MOST_MS).min(LEFT_MOST_MS) as Micros * 1_000;
-    // Prevents: work of a name that is mistyped counts for nobody, and gives way to all others unnoticed.
-    // Where nobody shares the workers the header means nothing, and is not read.
-    let tenant = match conf.tenants.is_empty() {
+    let left = left.parse().unwrap_or(LEFT_MOST_MS).min(LEFT_MOST_MS);
+    let remaining = Duration::from_millis(left);
+    // Prevents: work of a name that is mistyped counts for nobody, and gives way to all others
+    // unnoticed. Where nobody shares the workers the header means nothing, and is not read.
+    let tenant = match settings.tenants.is_empty() {
         true => None,
         false => match header(headers, "x-org")? {
-            Some(name) => Some(conf.tenant(name).ok_or(malformed("unknown tenant"))?),
+            Some(name) => Some(settings.tenant(name).ok_or(malformed("unknown tenant"))?),
             None => None,
         },
     };
     let (mut slots, mut memory) = (1.0, 0.0);
-    for label in header(headers, "x-labels")?.unwrap_or_default().split(',').filter(|l| !l.trim().is_empty())
+    for label in header(headers, "x-labels")?
+        .unwrap_or_default()
+        .split(',')
+        .filter(|l| !l.trim().is_empty())
     {
         let (name, value) = label.split_once('=').ok_or(malformed("X-Labels"))?;
         let value: f64 = value.trim().parse().map_err(|_| malformed("X-Labels"))?;
         match name.trim() {
-            "slots" | "memory" if !(0.0..=1e6).contains(&value) => return Err(malformed("X-Labels")),
+            "slots" | "memory" if !(0.0..=1e6).contains(&value) => {
+                return Err(malformed("X-Labels"));
+            }
             "slots" => slots = value,
             "memory" => memory = value,
             _ => {}
@@ -289,7 +341,10 @@
     // Prevents: a body that is too large is waited for before it is turned down.
     let length = request.body().size_hint().exact();
     if length.is_some_and(|l| l > BODY_MOST as u64) {
-        return Err(Bad(StatusCode::PAYLOAD_TOO_LARGE, "a body holds 64 KiB at most"));
+        return Err(Bad(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "a body holds 64 KiB at most",
+        ));
     }
     let body = timeout_at(seat.due() - LAST_WORD, Bytes::from_request(request, &())).await;
     let body = body.map_err(|_| Bad(StatusCode::REQUEST_TIMEOUT, "the body took too long"))?;
@@ -297,39 +352,69 @@
     if seat.excess(length) {
         return Err(malformed("more came than Content-Length says"));
     }
-    let job = Arc::new(Job { id, path, repeat_key, body });
-    Ok(Transaction { class: ClassId(class), left, slots, memory, tenant, job, identity: None })
+    let job = Arc::new(Job {
+        id,
+        path,
+        idempotency_key,
+        body,
+    });
+    Ok(ClientRequest {
+        class: ClassId(class),
+        remaining,
+        slots,
+        memory,
+        tenant,
+        job,
+        unique_id: None,
+    })
 }
 
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Bad> {
     let mut values = headers.get_all(name).iter();
-    let Some(value) = values.next() else { return Ok(None) };
-    // Prevents: one of two that contradict each other is believed, and a next hop believes the other.
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
+    // Prevents: one of two that contradict each other is believed, and a next hop believes the
+    // other.
     if values.next().is_some() {
         return Err(Bad(StatusCode::BAD_REQUEST, "a header comes twice"));
     }
-    value.to_str().map(|v| Some(v.trim())).map_err(|_| Bad(StatusCode::BAD_REQUEST, "a header is not text"))
+    value
+        .to_str()
+        .map(|v| Some(v.trim()))
+        .map_err(|_| Bad(StatusCode::BAD_REQUEST, "a header is not text"))
 }
 
 fn well_formed(id: &str) -> bool {
-    (1..=64).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+    (1..=64).contains(&id.len())
+        && id
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
 
-fn respond(answer: Answer) -> Response {
+fn respond(answer: ClientResponse) -> Response {
     match answer {
-        Answer::Served(result) => Response::new(Body::from(result)),
-        Answer::Busy { retry_after: None } => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Answer::Busy { retry_after: Some(after) } => {
-            let seconds = format!("{:.3}", after as f64 / 1e6);
-            (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, seconds)]).into_response()
+        ClientResponse::Served(result) => Response::new(Body::from(result)),
+        ClientResponse::Overloaded { retry_after: None } => {
+            StatusCode::SERVICE_UNAVAILABLE.into_response()
+        }
+        ClientResponse::Overloaded {
+            retry_after: Some(after),
+        } => {
+            let seconds = format!("{:.3}", after.as_micros() as f64 / 1e6);
+            (
+                StatusCode::SERVICE_UNAVAILABLE,
+                [(header::RETRY_AFTER, seconds)],
+            )
+                .into_response()
         }
-        Answer::Rejected(why) => {
+        ClientResponse::Rejected(why) => {
             let status = match why {
                 Rejection::IdInUse => StatusCode::CONFLICT,
-                Rejection::Unusable => StatusCode::UNPROCESSABLE_ENTITY,
+                Rejection::InvalidJob => StatusCode::UNPROCESSABLE_ENTITY,
             };
-            Bad(status, why.why()).into_response()
+            (status, [(header::CONNECTION, "close")], why.to_string()).into_response()
         }
-        Answer::Failed(why) => (StatusCode::BAD_GATEWAY, why).into_response(),
+        ClientResponse::Failed(why) => (StatusCode::BAD_GATEWAY, why.to_string()).into_response(),
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! The dispatcher on sockets: fronts for clients, next hops, discovery, and the shell that runs the core between them.
+//! The dispatcher on sockets: fronts for clients, next hops, discovery, and the shell that runs the
+//! core between them.
 
 pub mod config;
 pub mod discovery;
-pub mod front;
-pub mod hop;
-pub mod shell;
+pub mod event_loop;
+pub mod frontend;
+pub mod upstream;
--- a/crates/net/src/hop/body.rs
+++ b/crates/net/src/upstream/body.rs
@@ -1,6 +1,6 @@
 //! The body of a request to a next hop, which knows when the request is about to be written.
 
-use super::Branch;
+use super::AttemptConnection;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::io;
@@ -8,24 +8,29 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// A body in one piece. hyper takes it in, and lets it go at once if it is empty, when it has put the head into its
-/// buffer and has yet to write any of it: at that moment the branch gets its number on the connection.
+/// A body in one piece. hyper takes it in, and lets it go at once if it is empty, when it has put
+/// the head into its buffer and has yet to write any of it: at that moment the branch gets its
+/// number on the connection.
 #[derive(Default)]
 pub struct RequestBody {
     content: Option<Bytes>,
-    of: Option<Branch>,
+    of: Option<AttemptConnection>,
     latest: Option<Instant>,
 }
 
 impl RequestBody {
     /// The body of a branch's request, that is written by then or not at all.
-    pub fn new(content: Bytes, of: Branch, latest: Option<Instant>) -> RequestBody {
-        RequestBody { content: Some(content).filter(|c| !c.is_empty()), of: Some(of), latest }
+    pub fn new(content: Bytes, of: AttemptConnection, latest: Option<Instant>) -> RequestBody {
+        RequestBody {
+            content: Some(content).filter(|c| !c.is_empty()),
+            of: Some(of),
+            latest,
+        }
     }
 
-    /// Prevents: the request of a branch that is over is written to a connection that came up too late for it; and, where
-    /// the program stood still in between, one is written to a next hop that drains by now, or after the window for
-    /// repeats.
+    /// Prevents: the request of a branch that is over is written to a connection that came up too
+    /// late for it; and, where the program stood still in between, one is written to a next hop
+    /// that drains by now, or after the window for repeats.
     fn begin(&mut self) -> io::Result<()> {
         match self.of.take() {
             Some(of) if of.over() => {
--- a/crates/net/src/hop/pace.rs
+++ b/crates/net/src/upstream/progress_limit.rs
@@ -3,25 +3,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines before the last one may take up so many bytes, and so many more in each second. A next hop that tells of its
-/// progress ten times a second needs a hundredth of it.
+/// Lines before the last one may take up so many bytes, and so many more in each second. A next hop
+/// that tells of its progress ten times a second needs a hundredth of it.
 const SAID_MOST: u64 = 64 << 10;
 const SAID_EACH: u64 = 64 << 10;
 /// Shares of progress are passed on no more often: the decisions look no more often than that.
 const SHARES: Duration = Duration::from_millis(50);
 
 /// Keeps a next hop that talks without end from filling the queue to the core.
-pub struct Pace {
+pub struct ProgressLimit {
     since: Instant,
     said: u64,
     started: bool,
     shared: Option<Instant>,
 }
 
-impl Pace {
+impl ProgressLimit {
     /// Nothing said yet.
-    pub fn start(now: Instant) -> Pace {
-        Pace { since: now, said: 0, started: false, shared: None }
+    pub fn start(now: Instant) -> ProgressLimit {
+        ProgressLimit {
+            since: now,
+            said: 0,
+            started: false,
+            shared: None,
+        }
     }
 
     /// Takes in a line that is not the last, or says that these are too many.
