--- a/crates/net/src/hop/tests.rs
+++ b/crates/net/src/upstream/tests.rs
@@ -1,12 +1,16 @@
 use super::*;
 
 /// A client that nobody shares sockets with.
-fn alone(address: &str, keeping: Keeping) -> Hop {
-    Hop::new(address, keeping, &Arc::new(Semaphore::new(Semaphore::MAX_PERMITS)))
+fn alone(address: &str, pool: PoolSettings) -> UpstreamClient {
+    UpstreamClient::new(
+        address,
+        pool,
+        &Arc::new(Semaphore::new(Semaphore::MAX_PERMITS)),
+    )
 }
 
-// Guards against a branch that waits for a connection past the grace of a drain, and against writing to a
-// connection that the other side may have dropped.
+// Guards against a branch that waits for a connection past the grace of a drain, and against
+// writing to a connection that the other side may have dropped.
 #[test]
 fn waits_for_connections_stay_within_the_grace_and_idle_ones_close_early() {
     let text = |grace: u64| {
@@ -15,24 +19,33 @@
             "rules":{{"drain-grace-us":{grace}}}}}"#
         )
     };
-    let keeping = |grace| {
-        let sockets = Sockets { inbound: 1, spare: 1, outbound: 640 };
-        Keeping::new(&serde_json::from_str(&text(grace)).unwrap(), &sockets)
+    let pool = |grace| {
+        let sockets = Sockets {
+            inbound: 1,
+            spare: 1,
+            outbound: 640,
+        };
+        PoolSettings::new(&serde_json::from_str(&text(grace)).unwrap(), &sockets)
     };
-    assert_eq!(keeping(500_000).connect, Duration::from_millis(250));
-    assert_eq!(keeping(100_000).connect, Duration::from_millis(50));
-    assert_eq!(keeping(0).connect, Duration::from_millis(250));
-    assert_eq!(keeping(0).idle, Duration::from_secs(10));
-    assert_eq!(keeping(500_000).probe, Duration::from_millis(500));
+    assert_eq!(pool(500_000).connect, Duration::from_millis(250));
+    assert_eq!(pool(100_000).connect, Duration::from_millis(50));
+    assert_eq!(pool(0).connect, Duration::from_millis(250));
+    assert_eq!(pool(0).idle, Duration::from_secs(10));
+    assert_eq!(pool(500_000).probe, Duration::from_millis(500));
 }
 
-// Guards against a site whose connections may take a second: each probe that opened one was over before it.
+// Guards against a site whose connections may take a second: each probe that opened one was over
+// before it.
 #[test]
 fn a_probe_is_waited_for_longer_than_its_connection_may_take() {
     let text = r#"{"lanes":[],"limits":{"most-tries":1,"connect-timeout-us":1000000},"rules":{}}"#;
-    let sockets = Sockets { inbound: 1, spare: 1, outbound: 640 };
-    let keeping = Keeping::new(&serde_json::from_str(text).unwrap(), &sockets);
-    assert!(keeping.probe > keeping.connect, "{keeping:?}");
+    let sockets = Sockets {
+        inbound: 1,
+        spare: 1,
+        outbound: 640,
+    };
+    let pool = PoolSettings::new(&serde_json::from_str(text).unwrap(), &sockets);
+    assert!(pool.probe > pool.connect, "{pool:?}");
 }
 
 #[test]
@@ -45,16 +58,20 @@
 }
 
 /// Hears how a branch ended.
-struct Ends(std::sync::mpsc::Sender<(Ending, Option<Report>)>);
+struct Ends(std::sync::mpsc::Sender<(AttemptOutcome, Option<LoadReport>)>);
 
-fn terms(left: Duration, fresh: bool) -> Terms {
-    Terms { left, fresh, not_after: None }
+fn terms(remaining: Duration, dedicated_connection: bool) -> AttemptOptions {
+    AttemptOptions {
+        remaining,
+        dedicated_connection,
+        write_by: None,
+    }
 }
 
 impl AttemptObserver for Ends {
-    fn news(&self, _: News) {}
+    fn updated(&self, _: AttemptUpdate) {}
 
-    fn ended(&mut self, ending: Ending, report: Option<Report>) {
+    fn ended(&mut self, ending: AttemptOutcome, report: Option<LoadReport>) {
         self.0.send((ending, report)).unwrap();
     }
 }
@@ -77,15 +94,18 @@
         )
     };
     let answers = [
-        (line("done"), Ending::Served(Bytes::new())),
-        (line("failed"), Ending::Error),
-        (line("returned"), Ending::TurnedAway),
-        (line("lost"), Ending::Reset),
-        (head("503 X\r\nX-Turned-Away: 1"), Ending::TurnedAway),
-        (head("504 X\r\nX-Turned-Away: 1"), Ending::TurnedAway),
-        (head("500 X"), Ending::Error),
+        (line("done"), AttemptOutcome::Served(Bytes::new())),
+        (line("failed"), AttemptOutcome::Error),
+        (line("returned"), AttemptOutcome::Rejected),
+        (line("lost"), AttemptOutcome::Reset),
+        (head("503 X\r\nX-Turned-Away: 1"), AttemptOutcome::Rejected),
+        (head("504 X\r\nX-Turned-Away: 1"), AttemptOutcome::Rejected),
+        (head("500 X"), AttemptOutcome::Error),
     ];
-    let texts: Vec<String> = answers.iter().map(|(text, _)| format!("HTTP/1.1 {text}")).collect();
+    let texts: Vec<String> = answers
+        .iter()
+        .map(|(text, _)| format!("HTTP/1.1 {text}"))
+        .collect();
     let server = std::thread::spawn(move || {
         let mut stream = listener.accept().unwrap().0;
         for text in texts {
@@ -95,21 +115,36 @@
     });
     let (tell, ends) = std::sync::mpsc::channel();
     let limit = Duration::from_secs(2);
-    let keeping = Keeping { connect: limit, idle: limit, probe: limit, most_idle: 2 };
-    let report = Report {
+    let pool = PoolSettings {
+        connect: limit,
+        idle: limit,
+        probe: limit,
+        most_idle: 2,
+    };
+    let report = LoadReport {
         in_flight: Some(7.0),
-        waiting: Some(2.0),
+        queued: Some(2.0),
         free_slots: Some(3.0),
         free_memory: Some(4.0),
-        rate: Some(5.0),
-        busy: Some(0.61),
+        requests_per_second: Some(5.0),
+        cpu_utilization: Some(0.61),
     };
-    let job = Job { id: "t".into(), path: "/c".into(), repeat_key: None, body: Bytes::new() };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let job = Job {
+        id: "t".into(),
+        path: "/c".into(),
+        idempotency_key: None,
+        body: Bytes::new(),
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
-        let hop = alone(&address, keeping);
+        let hop = alone(&address, pool);
         for (text, ending) in answers {
-            let (_branch, drive) = hop.branch(&job, terms(limit, false), Ends(tell.clone())).unwrap();
+            let (_branch, drive) = hop
+                .attempt(&job, terms(limit, false), Ends(tell.clone()))
+                .unwrap();
             drive.await;
             assert_eq!(ends.try_recv().unwrap(), (ending, Some(report)), "{text}");
         }
@@ -124,24 +159,39 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let server = std::thread::spawn(move || {
-        let read = |stream: &mut std::net::TcpStream| assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
+        let read =
+            |stream: &mut std::net::TcpStream| assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
         let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}";
         let mut kept = listener.accept().unwrap().0;
         read(&mut kept);
         kept.write_all(answer).unwrap();
         read(&mut kept);
         drop(kept);
-        let mut fresh = listener.accept().unwrap().0;
-        read(&mut fresh);
-        fresh.write_all(answer).unwrap();
+        let mut dedicated_connection = listener.accept().unwrap().0;
+        read(&mut dedicated_connection);
+        dedicated_connection.write_all(answer).unwrap();
     });
     // How long a probe is waited for is another test's: here it only keeps the test from hanging.
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
-        let hop = alone(&address, Keeping { connect: SOON, idle: SOON, probe: SOON, most_idle: 2 });
+        let hop = alone(
+            &address,
+            PoolSettings {
+                connect: SOON,
+                idle: SOON,
+                probe: SOON,
+                most_idle: 2,
+            },
+        );
         for _ in 0..2 {
-            let (status, report) = hop.probe().await;
-            assert_eq!((status, report.and_then(|r| r.free_slots)), (Status::Ok, Some(2.0)));
+            let (status, report) = hop.check_health().await;
+            assert_eq!(
+                (status, report.and_then(|r| r.free_slots)),
+                (Outcome::Success, Some(2.0))
+            );
         }
     });
     server.join().unwrap();
@@ -169,7 +219,14 @@
     let address = listener.local_addr().unwrap().to_string();
     let (tell, told) = tokio::sync::mpsc::unbounded_channel();
     let (send, go) = std::sync::mpsc::channel();
-    (Worker { listener, tell, go }, Seen { address, told, go: send })
+    (
+        Worker { listener, tell, go },
+        Seen {
+            address,
+            told,
+            go: send,
+        },
+    )
 }
 
 impl Worker {
@@ -189,7 +246,12 @@
 
 impl Seen {
     async fn told(&mut self, what: &str) {
-        assert_eq!(timeout(SOON, self.told.recv()).await.unwrap_or(Some("nothing")), Some(what));
+        assert_eq!(
+            timeout(SOON, self.told.recv())
+                .await
+                .unwrap_or(Some("nothing")),
+            Some(what)
+        );
     }
 
     /// The same, and the runtime does not hear of anything meanwhile.
@@ -216,39 +278,68 @@
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).unwrap(), 1, "closed; so far {:?}", String::from_utf8_lossy(&head));
+        assert_eq!(
+            stream.read(&mut byte).unwrap(),
+            1,
+            "closed; so far {:?}",
+            String::from_utf8_lossy(&head)
+        );
         head.push(byte[0]);
     }
     let head = String::from_utf8(head).unwrap();
-    let length =
-        head.lines().find_map(|l| l.strip_prefix("content-length: ")).map_or(0, |l| l.parse().unwrap());
+    let length = head
+        .lines()
+        .find_map(|l| l.strip_prefix("content-length: "))
+        .map_or(0, |l| l.parse().unwrap());
     stream.read_exact(&mut vec![0; length]).unwrap();
     head
 }
 
 /// A whole answer with this body, after which its connection is at rest at once.
 fn answer(status: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 fn done(id: &str) -> String {
-    answer("200 OK", &format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"{id}\"}}\n"))
+    answer(
+        "200 OK",
+        &format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"{id}\"}}\n"),
+    )
 }
 
-fn served(id: &'static str) -> (Ending, Option<Report>) {
-    (Ending::Served(Bytes::from(id)), None)
+fn served(id: &'static str) -> (AttemptOutcome, Option<LoadReport>) {
+    (AttemptOutcome::Served(Bytes::from(id)), None)
 }
 
 fn job(id: &str, body: usize) -> Job {
-    Job { id: id.into(), path: "/c".into(), repeat_key: None, body: vec![b'x'; body].into() }
+    Job {
+        id: id.into(),
+        path: "/c".into(),
+        idempotency_key: None,
+        body: vec![b'x'; body].into(),
+    }
 }
 
-fn hop(address: &str) -> Hop {
-    alone(address, Keeping { connect: SOON, idle: SOON, probe: SOON, most_idle: 2 })
+fn hop(address: &str) -> UpstreamClient {
+    alone(
+        address,
+        PoolSettings {
+            connect: SOON,
+            idle: SOON,
+            probe: SOON,
+            most_idle: 2,
+        },
+    )
 }
 
 fn play(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(test);
 }
 
@@ -261,19 +352,25 @@
 
 /// An attempt that goes on by itself, and its end.
 struct Out {
-    branch: Branch,
-    ends: std::sync::mpsc::Receiver<(Ending, Option<Report>)>,
+    branch: AttemptConnection,
+    ends: std::sync::mpsc::Receiver<(AttemptOutcome, Option<LoadReport>)>,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl Out {
-    fn start(hop: &Hop, job: &Job, fresh: bool) -> Out {
+    fn start(hop: &UpstreamClient, job: &Job, dedicated_connection: bool) -> Out {
         let (tell, ends) = std::sync::mpsc::channel();
-        let (branch, drive) = hop.branch(job, terms(SOON, fresh), Ends(tell)).unwrap();
-        Out { branch, ends, task: tokio::spawn(drive) }
+        let (branch, drive) = hop
+            .attempt(job, terms(SOON, dedicated_connection), Ends(tell))
+            .unwrap();
+        Out {
+            branch,
+            ends,
+            task: tokio::spawn(drive),
+        }
     }
 
-    async fn end(self) -> (Ending, Option<Report>) {
+    async fn end(self) -> (AttemptOutcome, Option<LoadReport>) {
         timeout(SOON, self.task).await.expect("no end").unwrap();
         let end = self.ends.try_recv().unwrap();
         assert!(self.ends.try_recv().is_err(), "two ends");
@@ -281,20 +378,26 @@
     }
 }
 
-// Guards against a cut that crosses the end of its attempt, and closes the connection under the next one, whose import
-// is lost as one that may have run. In each way in which an end leaves the connection to others.
+// Guards against a cut that crosses the end of its attempt, and closes the connection under the
+// next one, whose import is lost as one that may have run. In each way in which an end leaves the
+// connection to others.
 #[test]
 fn a_cut_that_comes_after_the_last_word_leaves_the_connection_to_the_next_attempt() {
-    let line = |state: &str| answer("200 OK", &format!("{{\"id\":\"a\",\"state\":\"{state}\"}}\n"));
+    let line = |state: &str| {
+        answer(
+            "200 OK",
+            &format!("{{\"id\":\"a\",\"state\":\"{state}\"}}\n"),
+        )
+    };
     let turned = "503 Busy\r\nX-Turned-Away: 1";
     let words = [
-        (line("done"), Ending::Served(Bytes::new())),
-        (line("failed"), Ending::Error),
-        (line("returned"), Ending::TurnedAway),
-        (line("lost"), Ending::Reset),
-        (answer(turned, ""), Ending::TurnedAway),
-        (answer("500 Broken", "x"), Ending::Error),
-        (answer("400 Bad", "x"), Ending::Unusable),
+        (line("done"), AttemptOutcome::Served(Bytes::new())),
+        (line("failed"), AttemptOutcome::Error),
+        (line("returned"), AttemptOutcome::Rejected),
+        (line("lost"), AttemptOutcome::Reset),
+        (answer(turned, ""), AttemptOutcome::Rejected),
+        (answer("500 Broken", "x"), AttemptOutcome::Error),
+        (answer("400 Bad", "x"), AttemptOutcome::InvalidJob),
     ];
     for (text, ending) in words {
         let (worker, mut seen) = worker();
@@ -316,7 +419,7 @@
             settle().await;
             let b = Out::start(&hop, &job("b", 9), false);
             seen.told("has the second").await;
-            cut.cut();
+            cut.abort();
             settle().await;
             seen.go();
             assert_eq!(b.end().await, served("b"), "{text}");
@@ -325,13 +428,16 @@
     }
 }
 
-// Guards against the same from within: an answer that can't be used is found out only when its connection has been
-// read to the end, and has the next attempt on it.
+// Guards against the same from within: an answer that can't be used is found out only when its
+// connection has been read to the end, and has the next attempt on it.
 #[test]
 fn an_answer_of_no_use_does_not_take_the_next_attempt_with_it() {
-    for body in
-        ["what?\n", "{\"id\":\"z\",\"state\":\"done\"}\n", " \n", "{\"id\":\"a\",\"state\":\"started\"}\n"]
-    {
+    for body in [
+        "what?\n",
+        "{\"id\":\"z\",\"state\":\"done\"}\n",
+        " \n",
+        "{\"id\":\"a\",\"state\":\"started\"}\n",
+    ] {
         let (worker, mut seen) = worker();
         let server = std::thread::spawn(move || {
             use std::io::Write;
@@ -350,7 +456,9 @@
         play(async {
             let hop = hop(&seen.address);
             let (tell, ends) = std::sync::mpsc::channel();
-            let (a, drive) = hop.branch(&job("a", 9), terms(SOON, false), Ends(tell)).unwrap();
+            let (a, drive) = hop
+                .attempt(&job("a", 9), terms(SOON, false), Ends(tell))
+                .unwrap();
             let mut drive = std::pin::pin!(drive);
             let mut go_on = async || {
                 let mut over = false;
@@ -376,7 +484,11 @@
             while !go_on().await {
                 settle().await;
             }
-            assert_eq!(ends.try_recv().unwrap(), (Ending::Reset, None), "{body}");
+            assert_eq!(
+                ends.try_recv().unwrap(),
+                (AttemptOutcome::Reset, None),
+                "{body}"
+            );
             settle().await;
             seen.go();
             assert_eq!(b.end().await, served("b"), "{body}");
@@ -385,14 +497,20 @@
     }
 }
 
-// Guards against an import that is lost as one that may have run, though its connection was dead before a byte of it
-// was written; and against what came late for one attempt being taken as the answer of the next. The runtime has not
-// heard of it when the request is written.
+// Guards against an import that is lost as one that may have run, though its connection was dead
+// before a byte of it was written; and against what came late for one attempt being taken as the
+// answer of the next. The runtime has not heard of it when the request is written.
 #[test]
 fn a_kept_connection_that_died_or_spoke_unasked_before_the_request_gets_not_a_byte_of_it() {
     let late = answer("503 Busy\r\nX-Turned-Away: 1", "");
-    let shots =
-        [None, Some(String::new()), Some("{\"id\":".into()), Some(done("a")), Some(done("b")), Some(late)];
+    let shots = [
+        None,
+        Some(String::new()),
+        Some("{\"id\":".into()),
+        Some(done("a")),
+        Some(done("b")),
+        Some(late),
+    ];
     for (shot, size) in shots.iter().flat_map(|s| [(s, 0), (s, 9), (s, 64 << 10)]) {
         let (worker, mut seen) = worker();
         let text = shot.clone();
@@ -406,7 +524,9 @@
                 // Closed; reset; or not asked for.
                 None => drop(stream),
                 Some(text) if text.is_empty() => {
-                    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+                    socket2::SockRef::from(&stream)
+                        .set_linger(Some(Duration::ZERO))
+                        .unwrap();
                     drop(stream);
                 }
                 Some(text) => {
@@ -427,18 +547,30 @@
         });
         play(async {
             let hop = hop(&seen.address);
-            assert_eq!(Out::start(&hop, &job("a", size), false).end().await, served("a"));
+            assert_eq!(
+                Out::start(&hop, &job("a", size), false).end().await,
+                served("a")
+            );
             seen.told("answered").await;
             settle().await;
             seen.go();
             let (tell, ends) = std::sync::mpsc::channel();
-            let (_, drive) = hop.branch(&job("b", size), terms(SOON, false), Ends(tell)).unwrap();
+            let (_, drive) = hop
+                .attempt(&job("b", size), terms(SOON, false), Ends(tell))
+                .unwrap();
             // From here on the runtime looks at no socket before the request is written.
             seen.told_while_deaf("spoke");
             drive.await;
-            assert_eq!(ends.try_recv().unwrap(), (Ending::NotConnected, None), "{shot:?} {size}");
+            assert_eq!(
+                ends.try_recv().unwrap(),
+                (AttemptOutcome::ConnectFailed, None),
+                "{shot:?} {size}"
+            );
             seen.go();
-            assert_eq!(Out::start(&hop, &job("c", size), false).end().await, served("c"));
+            assert_eq!(
+                Out::start(&hop, &job("c", size), false).end().await,
+                served("c")
+            );
         });
         server.join().unwrap();
     }
@@ -462,11 +594,21 @@
         play(async {
             let hop = hop(&seen.address);
             if kept {
-                assert_eq!(Out::start(&hop, &job("a", 9), false).end().await, served("a"));
+                assert_eq!(
+                    Out::start(&hop, &job("a", 9), false).end().await,
+                    served("a")
+                );
                 settle().await;
             }
-            let ending = if kept { Ending::KeptReset } else { Ending::Reset };
-            assert_eq!(Out::start(&hop, &job("b", 64 << 20), false).end().await, (ending, None));
+            let ending = if kept {
+                AttemptOutcome::IdleConnectionReset
+            } else {
+                AttemptOutcome::Reset
+            };
+            assert_eq!(
+                Out::start(&hop, &job("b", 64 << 20), false).end().await,
+                (ending, None)
+            );
         });
         server.join().unwrap();
     }
@@ -497,34 +639,40 @@
 
 /// Hears what a branch tells, and when it ends.
 #[derive(Clone, Default)]
-struct Heard(Arc<std::sync::Mutex<(Vec<News>, Vec<Ending>)>>);
+struct Heard(Arc<std::sync::Mutex<(Vec<AttemptUpdate>, Vec<AttemptOutcome>)>>);
 
 impl AttemptObserver for Heard {
-    fn news(&self, news: News) {
+    fn updated(&self, news: AttemptUpdate) {
         self.0.lock().unwrap().0.push(news);
     }
 
-    fn ended(&mut self, ending: Ending, _: Option<Report>) {
+    fn ended(&mut self, ending: AttemptOutcome, _: Option<LoadReport>) {
         self.0.lock().unwrap().1.push(ending);
     }
 }
 
 impl Heard {
-    fn ends(&self) -> Vec<Ending> {
+    fn ends(&self) -> Vec<AttemptOutcome> {
         self.0.lock().unwrap().1.clone()
     }
 }
 
-// Guards against a next hop that talks without end for as long as its attempt may last: each line went into a queue
-// without bound, and kept everyone else waiting.
+// Guards against a next hop that talks without end for as long as its attempt may last: each line
+// went into a queue without bound, and kept everyone else waiting.
 #[test]
 fn an_answer_without_end_ends_as_a_reset_and_fills_no_queue() {
     let line = |rest: &str| chunk(&format!("{{\"id\":\"a\",{rest}}}\n"));
     let started = line("\"state\":\"started\"");
     let floods = [
         ("lines without end", started.clone()),
-        ("lines without end", line("\"state\":\"running\",\"share\":0.5")),
-        ("lines without end", started + &line("\"state\":\"running\"")),
+        (
+            "lines without end",
+            line("\"state\":\"running\",\"share\":0.5"),
+        ),
+        (
+            "lines without end",
+            started + &line("\"state\":\"running\""),
+        ),
         ("lines without end", chunk("\n")),
         ("lines without end", chunk(" \n\n")),
         ("a line without end", chunk("x")),
@@ -542,23 +690,40 @@
         play(async {
             let heard = Heard::default();
             let hop = hop(&seen.address);
-            let (_, drive) = hop.branch(&job("a", 9), terms(SOON, false), heard.clone()).unwrap();
+            let (_, drive) = hop
+                .attempt(&job("a", 9), terms(SOON, false), heard.clone())
+                .unwrap();
             let start = Instant::now();
             let over = timeout(SOON, drive).await.is_ok();
             let told = heard.0.lock().unwrap().clone();
             let most = 2 + start.elapsed().as_millis() / 50;
-            assert!(over, "{why}: still out, with {} pieces of news", told.0.len());
-            assert_eq!(told.1, [Ending::Reset], "{why}");
-            assert!(told.0.len() as u128 <= most, "{why}: {} pieces of news", told.0.len());
-            assert!(told.0.iter().filter(|n| matches!(n, News::Started)).count() <= 1, "{why}");
+            assert!(
+                over,
+                "{why}: still out, with {} pieces of news",
+                told.0.len()
+            );
+            assert_eq!(told.1, [AttemptOutcome::Reset], "{why}");
+            assert!(
+                told.0.len() as u128 <= most,
+                "{why}: {} pieces of news",
+                told.0.len()
+            );
+            assert!(
+                told.0
+                    .iter()
+                    .filter(|n| matches!(n, AttemptUpdate::Started))
+                    .count()
+                    <= 1,
+                "{why}"
+            );
             settle().await;
         });
         assert!(server.join().unwrap() < BUFFERED, "{why}");
     }
 }
 
-// Guards against bounds that real next hops reach: the largest result in the longest form that JSON has for it, after
-// many signs of life.
+// Guards against bounds that real next hops reach: the largest result in the longest form that JSON
+// has for it, after many signs of life.
 #[test]
 fn the_largest_result_comes_through_after_many_signs_of_life() {
     let (worker, seen) = worker();
@@ -580,8 +745,10 @@
         stream.write_all((text + "0\r\n\r\n").as_bytes()).unwrap();
     });
     play(async {
-        let (ending, report) = Out::start(&hop(&seen.address), &job("a", 9), false).end().await;
-        assert!(matches!(ending, Ending::Served(result) if result.len() == 64 << 10));
+        let (ending, report) = Out::start(&hop(&seen.address), &job("a", 9), false)
+            .end()
+            .await;
+        assert!(matches!(ending, AttemptOutcome::Served(result) if result.len() == 64 << 10));
         assert_eq!(report.unwrap().free_slots, Some(3.0));
     });
     server.join().unwrap();
@@ -592,19 +759,20 @@
 fn progress_is_told_at_once_and_then_now_and_then() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut pace = Pace::start(start);
+    let mut pace = ProgressLimit::start(start);
     assert!(pace.starts() && !pace.starts());
     let told: Vec<u64> = (0..200).filter(|&ms| pace.shares(at(ms))).collect();
     assert_eq!(told, [0, 50, 100, 150]);
     // Ten lines a second for an hour, and a thousand at once, but not for long.
     assert!((0..36_000).all(|n| pace.take(at(100 * n), 100).is_ok()));
-    let mut pace = Pace::start(start);
+    let mut pace = ProgressLimit::start(start);
     assert!((0..600).all(|_| pace.take(start, 100).is_ok()));
     assert!(!(0..600).all(|_| pace.take(start, 100).is_ok()));
 }
 
-// Guards against an answer that is held back, or read for ever, for what comes after its last word or after a status
-// that says all; and against using a connection again on which that is still to come.
+// Guards against an answer that is held back, or read for ever, for what comes after its last word
+// or after a status that says all; and against using a connection again on which that is still to
+// come.
 #[test]
 fn what_never_ends_after_the_last_word_costs_its_connection_and_holds_nothing_back() {
     let last = chunk("{\"id\":\"a\",\"state\":\"done\",\"result\":\"a\"}\n");
@@ -617,10 +785,10 @@
             "x".into(),
             served("a").0,
         ),
-        (format!("HTTP/1.1 500 Broken\r\n{endless}"), chunk("x"), Ending::Error),
-        (format!("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\n{endless}"), chunk("xyz"), Ending::TurnedAway),
-        ("HTTP/1.1 404 None\r\nContent-Length: 99999999999\r\n\r\n".into(), "x".into(), Ending::Unusable),
-        (format!("HTTP/1.1 302 There\r\n{endless}"), chunk("x"), Ending::Error),
+        (format!("HTTP/1.1 500 Broken\r\n{endless}"), chunk("x"), AttemptOutcome::Error),
+        (format!("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\n{endless}"), chunk("xyz"), AttemptOutcome::Rejected),
+        ("HTTP/1.1 404 None\r\nContent-Length: 99999999999\r\n\r\n".into(), "x".into(), AttemptOutcome::InvalidJob),
+        (format!("HTTP/1.1 302 There\r\n{endless}"), chunk("x"), AttemptOutcome::Error),
     ];
     let floods = cases.iter().map(|c| (c, false));
     for ((first, again, ending), silent) in floods.chain([(&cases[0], true), (&cases[4], true)]) {
@@ -644,7 +812,9 @@
         play(async {
             let heard = Heard::default();
             let hop = hop(&seen.address);
-            let (_, drive) = hop.branch(&job("a", 9), terms(SOON, false), heard.clone()).unwrap();
+            let (_, drive) = hop
+                .attempt(&job("a", 9), terms(SOON, false), heard.clone())
+                .unwrap();
             let task = tokio::spawn(drive);
             seen.told("said it").await;
             // It is told before anything of the rest has come.
@@ -657,7 +827,11 @@
             timeout(SOON, task).await.expect("no end").unwrap();
             assert_eq!(heard.ends(), std::slice::from_ref(ending), "{first}");
             settle().await;
-            assert_eq!(Out::start(&hop, &job("b", 9), false).end().await, served("b"), "{first}");
+            assert_eq!(
+                Out::start(&hop, &job("b", 9), false).end().await,
+                served("b"),
+                "{first}"
+            );
         });
         assert!(server.join().unwrap() < BUFFERED, "{first}");
     }
@@ -685,8 +859,8 @@
     String::from_utf8_lossy(&rest).into_owned()
 }
 
-// Guards against a request that is written after its attempt was cut: handed to its connection, kept or just up, but
-// not written yet. Whether or not the attempt's task is ended with it.
+// Guards against a request that is written after its attempt was cut: handed to its connection,
+// kept or just up, but not written yet. Whether or not the attempt's task is ended with it.
 #[test]
 fn an_attempt_that_was_cut_before_it_was_written_never_is() {
     for (kept, dropped) in [(false, true), (false, false), (true, true), (true, false)] {
@@ -704,19 +878,24 @@
         play(async {
             let hop = hop(&seen.address);
             if kept {
-                assert_eq!(Out::start(&hop, &job("a", 9), false).end().await, served("a"));
+                assert_eq!(
+                    Out::start(&hop, &job("a", 9), false).end().await,
+                    served("a")
+                );
                 seen.told("there").await;
                 settle().await;
             }
             let heard = Heard::default();
-            let (branch, drive) = hop.branch(&job("b", 9), terms(SOON, false), heard.clone()).unwrap();
+            let (branch, drive) = hop
+                .attempt(&job("b", 9), terms(SOON, false), heard.clone())
+                .unwrap();
             let mut drive = Box::pin(drive);
             assert!(!poll_once(&mut drive.as_mut()).await);
             if !kept {
                 // It is up, and the runtime has not seen it.
                 seen.told_while_deaf("there");
             }
-            branch.cut();
+            branch.abort();
             match dropped {
                 true => drop(drive),
                 // With nobody to end its task it ends by itself, and says nothing.
@@ -730,38 +909,48 @@
     }
 }
 
-/// A next hop whose connections don't come up, and its one connection that keeps others from that. The system tries
-/// again a second later.
+/// A next hop whose connections don't come up, and its one connection that keeps others from that.
+/// The system tries again a second later.
 fn full() -> (std::net::TcpListener, std::net::TcpStream) {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener = std::net::TcpListener::from(socket);
     let filler = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (listener, filler)
 }
 
-// Guards against a connection that comes up too late: its attempt was cut, or its time was over. Nothing comes up for
-// it any more, and nothing is written.
+// Guards against a connection that comes up too late: its attempt was cut, or its time was over.
+// Nothing comes up for it any more, and nothing is written.
 #[test]
 fn a_connection_that_comes_up_too_late_carries_nothing() {
     for patience in [SOON, Duration::from_millis(100)] {
         let (listener, filler) = full();
         let address = listener.local_addr().unwrap().to_string();
         play(async {
-            let hop = alone(&address, Keeping { connect: patience, idle: SOON, probe: SOON, most_idle: 2 });
+            let hop = alone(
+                &address,
+                PoolSettings {
+                    connect: patience,
+                    idle: SOON,
+                    probe: SOON,
+                    most_idle: 2,
+                },
+            );
             let out = Out::start(&hop, &job("a", 9), false);
             settle().await;
             if patience == SOON {
                 assert!(!out.task.is_finished());
                 // As the shell does it.
-                out.branch.cut();
+                out.branch.abort();
                 out.task.abort();
                 assert!(out.task.await.unwrap_err().is_cancelled());
                 assert!(out.ends.try_recv().is_err());
             } else {
-                assert_eq!(out.end().await, (Ending::NotConnected, None));
+                assert_eq!(out.end().await, (AttemptOutcome::ConnectFailed, None));
             }
             // Room for the next try of the system.
             drop(listener.accept().unwrap());
@@ -777,8 +966,8 @@
     }
 }
 
-// Guards against a connection that is opened for an attempt which another one has served by then: it is kept, nothing
-// is written on it meanwhile, and the next one in need of it has it.
+// Guards against a connection that is opened for an attempt which another one has served by then:
+// it is kept, nothing is written on it meanwhile, and the next one in need of it has it.
 #[test]
 fn a_connection_that_comes_up_for_nobody_is_kept_and_silent() {
     use std::io::{Read, Write};
@@ -803,7 +992,10 @@
         tell.send(()).unwrap();
         wait.recv().unwrap();
         late.set_nonblocking(true).unwrap();
-        assert_eq!(late.read(&mut [0]).unwrap_err().kind(), std::io::ErrorKind::WouldBlock);
+        assert_eq!(
+            late.read(&mut [0]).unwrap_err().kind(),
+            std::io::ErrorKind::WouldBlock
+        );
         late.set_nonblocking(false).unwrap();
         tell.send(()).unwrap();
         for stream in [&mut first, &mut late] {
@@ -811,7 +1003,9 @@
         }
         let ids = [read_request(&mut first), read_request(&mut late)];
         for (stream, head) in [&mut first, &mut late].into_iter().zip(ids) {
-            stream.write_all(done(if head.contains("x-txn: c") { "c" } else { "d" }).as_bytes()).unwrap();
+            stream
+                .write_all(done(if head.contains("x-txn: c") { "c" } else { "d" }).as_bytes())
+                .unwrap();
         }
     });
     play(async {
@@ -826,23 +1020,34 @@
         settle().await;
         go.send(()).unwrap();
         told.recv().await.unwrap();
-        let (c, d) = (Out::start(&hop, &job("c", 9), false), Out::start(&hop, &job("d", 9), false));
+        let (c, d) = (
+            Out::start(&hop, &job("c", 9), false),
+            Out::start(&hop, &job("d", 9), false),
+        );
         assert_eq!((c.end().await, d.end().await), (served("c"), served("d")));
     });
     server.join().unwrap();
 }
 
-// Guards against a probe that is waited for without end, holds what comes in memory, or leaves its connection to be
-// used again with its answer still to come.
+// Guards against a probe that is waited for without end, holds what comes in memory, or leaves its
+// connection to be used again with its answer still to come.
 #[test]
 fn a_probe_without_end_is_over_in_time_and_its_connection_closed() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let silent = ["".to_owned(), head.into(), format!("{head}{}", chunk("{\"x0\":2}"))];
+    let silent = [
+        "".to_owned(),
+        head.into(),
+        format!("{head}{}", chunk("{\"x0\":2}")),
+    ];
     let endless = [
         format!("{head}{}", chunk("x0=2,")),
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\nx".into(),
     ];
-    for (text, floods) in silent.iter().map(|t| (t, false)).chain(endless.iter().map(|t| (t, true))) {
+    for (text, floods) in silent
+        .iter()
+        .map(|t| (t, false))
+        .chain(endless.iter().map(|t| (t, true)))
+    {
         for given_up in [false, true] {
             let (worker, mut seen) = worker();
             let begin = text.clone();
@@ -853,22 +1058,35 @@
                 stream.write_all(begin.as_bytes()).unwrap();
                 worker.at("said it");
                 let out = match floods {
-                    true => {
-                        flood(&mut stream, "", if begin.contains("chunked") { "1\r\nx\r\n" } else { "x" })
-                    }
+                    true => flood(
+                        &mut stream,
+                        "",
+                        if begin.contains("chunked") {
+                            "1\r\nx\r\n"
+                        } else {
+                            "x"
+                        },
+                    ),
                     false => rest(stream).len(),
                 };
                 let mut stream = worker.accept();
                 read_request(&mut stream);
-                stream.write_all(answer("200 OK", "x0=2").as_bytes()).unwrap();
+                stream
+                    .write_all(answer("200 OK", "x0=2").as_bytes())
+                    .unwrap();
                 out
             });
             play(async {
                 // One that floods is cut off by its size, one that is given up by its end.
                 let limit = if floods || given_up { SOON } else { PROBE };
-                let keeping = Keeping { connect: SOON, idle: SOON, probe: limit, most_idle: 2 };
-                let hop = alone(&seen.address, keeping);
-                let mut probe = Box::pin(hop.probe());
+                let pool = PoolSettings {
+                    connect: SOON,
+                    idle: SOON,
+                    probe: limit,
+                    most_idle: 2,
+                };
+                let hop = alone(&seen.address, pool);
+                let mut probe = Box::pin(hop.check_health());
                 if given_up {
                     while seen.told.try_recv().is_err() {
                         assert!(!poll_once(&mut probe.as_mut()).await);
@@ -878,30 +1096,59 @@
                     drop(probe);
                 } else {
                     seen.go();
-                    let status = if floods { Status::Ok } else { Status::Timeout };
-                    assert_eq!(timeout(SOON, probe).await.expect("no end"), (status, None), "{text}");
+                    let status = if floods {
+                        Outcome::Success
+                    } else {
+                        Outcome::Timeout
+                    };
+                    assert_eq!(
+                        timeout(SOON, probe).await.expect("no end"),
+                        (status, None),
+                        "{text}"
+                    );
                 }
                 settle().await;
-                let (status, report) = alone(&seen.address, Keeping { probe: SOON, ..keeping }).probe().await;
-                assert_eq!((status, report.unwrap().free_slots), (Status::Ok, Some(2.0)), "{text}");
+                let (status, report) = alone(
+                    &seen.address,
+                    PoolSettings {
+                        probe: SOON,
+                        ..pool
+                    },
+                )
+                .check_health()
+                .await;
+                assert_eq!(
+                    (status, report.unwrap().free_slots),
+                    (Outcome::Success, Some(2.0)),
+                    "{text}"
+                );
             });
             assert!(server.join().unwrap() < BUFFERED, "{text}");
         }
     }
 }
 
-// Guards against a request that is written after its time to be, as the program stood still: to a next hop that drains by
-// now, or after the window for its repeats; on a connection that comes up then, or on a kept one. It says nothing of the
-// next hop.
+// Guards against a request that is written after its time to be, as the program stood still: to a
+// next hop that drains by now, or after the window for its repeats; on a connection that comes up
+// then, or on a kept one. It says nothing of the next hop.
 #[test]
 fn what_could_not_be_written_in_its_time_is_not_written_at_all() {
     use std::io::{ErrorKind, Read, Write};
     let each = |(kept, body)| {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        // Long enough for the first one, and for a connection to come up once the runtime looks again.
+        // Long enough for the first one, and for a connection to come up once the runtime looks
+        // again.
         let connect = Duration::from_secs(1);
-        let hop = alone(&address, Keeping { connect, idle: SOON, probe: SOON, most_idle: 2 });
+        let hop = alone(
+            &address,
+            PoolSettings {
+                connect,
+                idle: SOON,
+                probe: SOON,
+                most_idle: 2,
+            },
+        );
         play(async {
             let mut stream = None;
             if kept {
@@ -912,19 +1159,28 @@
                     accepted.write_all(done("t0").as_bytes()).unwrap();
                     accepted
                 });
-                assert_eq!(Out::start(&hop, &job("t0", body), false).end().await, served("t0"));
+                assert_eq!(
+                    Out::start(&hop, &job("t0", body), false).end().await,
+                    served("t0")
+                );
                 stream = Some(answers.await.unwrap());
                 settle().await;
             }
             let late = Out::start(&hop, &job("t1", body), false);
             // Nothing runs meanwhile.
             std::thread::sleep(connect + LATE + Duration::from_millis(20));
-            assert_eq!(late.end().await, (Ending::NotTried, None), "{kept} {body}");
+            assert_eq!(
+                late.end().await,
+                (AttemptOutcome::NotSent, None),
+                "{kept} {body}"
+            );
             let mut stream = stream.unwrap_or_else(|| listener.accept().unwrap().0);
             stream.set_read_timeout(Some(SOON)).unwrap();
             let came = stream.read(&mut [0; 4096]);
             let nothing = matches!(&came, Ok(0))
-                || came.as_ref().is_err_and(|e| e.kind() == ErrorKind::ConnectionReset);
+                || came
+                    .as_ref()
+                    .is_err_and(|e| e.kind() == ErrorKind::ConnectionReset);
             assert!(nothing, "{kept} {body}: {came:?}");
         });
     };
@@ -941,8 +1197,9 @@
     "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n",
 ];
 
-// Guards against a next hop that sends interim answers without end: they were skipped one by one for as long as the attempt
-// or the probe lasted, half a second at a time in which nothing else went on. On a new connection and on a kept one.
+// Guards against a next hop that sends interim answers without end: they were skipped one by one
+// for as long as the attempt or the probe lasted, half a second at a time in which nothing else
+// went on. On a new connection and on a kept one.
 #[test]
 fn interim_answers_without_end_are_read_so_far_and_no_further() {
     for text in INTERIM {
@@ -965,13 +1222,24 @@
             play(async {
                 let hop = hop(&seen.address);
                 if kept {
-                    assert_eq!(Out::start(&hop, &job("z", 9), false).end().await, served("z"));
+                    assert_eq!(
+                        Out::start(&hop, &job("z", 9), false).end().await,
+                        served("z")
+                    );
                     settle().await;
                 }
-                let ending = if kept { Ending::KeptReset } else { Ending::Reset };
-                assert_eq!(Out::start(&hop, &job("a", 9), false).end().await, (ending, None), "{text}");
-                let probe = timeout(SOON, hop.probe()).await.expect("no end");
-                assert_eq!(probe, (Status::Reset, None), "{text}");
+                let ending = if kept {
+                    AttemptOutcome::IdleConnectionReset
+                } else {
+                    AttemptOutcome::Reset
+                };
+                assert_eq!(
+                    Out::start(&hop, &job("a", 9), false).end().await,
+                    (ending, None),
+                    "{text}"
+                );
+                let probe = timeout(SOON, hop.check_health()).await.expect("no end");
+                assert_eq!(probe, (Outcome::Reset, None), "{text}");
                 settle().await;
             });
             let read = server.join().unwrap();
@@ -980,15 +1248,17 @@
     }
 }
 
-// Guards against a bound on interim answers that counts those of answers before, or what comes after the head: one
-// connection serves the largest results, each after many interim answers.
+// Guards against a bound on interim answers that counts those of answers before, or what comes
+// after the head: one connection serves the largest results, each after many interim answers.
 #[test]
 fn interim_answers_count_for_their_own_request_alone() {
     const REQUESTS: usize = 3;
     let (worker, mut seen) = worker();
     let interim: String = INTERIM.concat().repeat(8_000);
     let result = "\\u0000".repeat(64 << 10);
-    let last = chunk(&format!("{{\"id\":\"a\",\"state\":\"done\",\"result\":\"{result}\"}}\n")) + "0\r\n\r\n";
+    let last = chunk(&format!(
+        "{{\"id\":\"a\",\"state\":\"done\",\"result\":\"{result}\"}}\n"
+    )) + "0\r\n\r\n";
     assert!(interim.len() < 1 << 20 && interim.len() + last.len() > 1 << 20);
     let begin = interim + CHUNKED + &chunk("{\"id\":\"a\",\"state\":\"started\"}\n");
     let server = std::thread::spawn(move || {
@@ -1005,7 +1275,9 @@
         let hop = hop(&seen.address);
         for n in 0..REQUESTS {
             let heard = Heard::default();
-            let (_, drive) = hop.branch(&job("a", 9), terms(SOON, false), heard.clone()).unwrap();
+            let (_, drive) = hop
+                .attempt(&job("a", 9), terms(SOON, false), heard.clone())
+                .unwrap();
             let task = tokio::spawn(drive);
             seen.told("begun").await;
             let begun = async {
@@ -1014,10 +1286,12 @@
                     tokio::task::yield_now().await;
                 }
             };
-            timeout(SOON, begun).await.expect("the start is not heard of");
+            timeout(SOON, begun)
+                .await
+                .expect("the start is not heard of");
             seen.go();
             timeout(SOON, task).await.expect("no end").unwrap();
-            let words: Vec<_> = heard.ends().iter().map(Ending::word).collect();
+            let words: Vec<_> = heard.ends().iter().map(AttemptOutcome::as_str).collect();
             assert_eq!(words, ["served"], "{n}");
             settle().await;
         }
--- a/crates/net/tests/attempts.rs
+++ b/crates/net/tests/attempts.rs
@@ -1,6 +1,7 @@
-//! How attempts end, at deployments unlike each other, played on loopback against next hops that misbehave.
+//! How attempts end, at deployments unlike each other, played on loopback against next hops that
+//! misbehave.
 
-use pumiceway_rig::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, Stage};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -41,8 +42,12 @@
 }
 
 fn done(id: &str) -> String {
-    let line = format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"done\",\"result\":\"{id}\"}}\n");
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{line}", line.len())
+    let line =
+        format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"done\",\"result\":\"{id}\"}}\n");
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{line}",
+        line.len()
+    )
 }
 
 /// What a next hop does after it has said something.
@@ -61,7 +66,7 @@
 
 /// What becomes of the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum Execution {
     /// It is served with the first attempt.
     Served,
     /// The attempt may have run.
@@ -74,7 +79,8 @@
     Late,
 }
 
-/// Two next hops, of which the first to get a request named `t1` does as told, once; all others are served.
+/// Two next hops, of which the first to get a request named `t1` does as told, once; all others are
+/// served.
 struct Workers {
     over: Arc<AtomicBool>,
     requests: Arc<Mutex<HashMap<String, usize>>>,
@@ -83,7 +89,10 @@
 
 impl Workers {
     fn start(listeners: Vec<TcpListener>, say: String, then: Then) -> Workers {
-        let (over, requests) = (Arc::<AtomicBool>::default(), Arc::<Mutex<HashMap<_, _>>>::default());
+        let (over, requests) = (
+            Arc::<AtomicBool>::default(),
+            Arc::<Mutex<HashMap<_, _>>>::default(),
+        );
         let play = |listener: TcpListener| {
             let (over, requests, say) = (over.clone(), requests.clone(), say.clone());
             std::thread::spawn(move || {
@@ -102,7 +111,11 @@
             })
         };
         let threads = listeners.into_iter().map(play).collect();
-        Workers { over, requests, threads }
+        Workers {
+            over,
+            requests,
+            threads,
+        }
     }
 
     /// How often each request came.
@@ -126,14 +139,20 @@
         }
     }
     let head = String::from_utf8(head).unwrap();
-    let field = |name: &str| head.lines().find_map(|l| l.strip_prefix(name)).map(str::to_owned);
+    let field = |name: &str| {
+        head.lines()
+            .find_map(|l| l.strip_prefix(name))
+            .map(str::to_owned)
+    };
     let length = field("content-length: ").map_or(0, |l| l.parse().unwrap());
     stream.read_exact(&mut vec![0; length]).ok()?;
     field("x-txn: ")
 }
 
 fn serve(mut stream: TcpStream, requests: &Mutex<HashMap<String, usize>>, say: &str, then: Then) {
-    stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(8)))
+        .unwrap();
     while let Some(id) = request(&mut stream) {
         let count = {
             let mut requests = requests.lock().unwrap();
@@ -150,7 +169,9 @@
             Then::Next => {}
             Then::Close => return,
             Then::Reset => {
-                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+                socket2::SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap();
                 return;
             }
             Then::Silence => {
@@ -184,13 +205,17 @@
     )
 }
 
-/// Plays each case with each class at each deployment, a few at a time: each has a dispatcher and its next hops, and what
-/// the plays take of the machine is not to be what they see.
-fn table(cases: &[(String, Then, Fate)], left: u64) {
+/// Plays each case with each class at each deployment, a few at a time: each has a dispatcher and
+/// its next hops, and what the plays take of the machine is not to be what they see.
+fn table(cases: &[(String, Then, Execution)], left: u64) {
     let mut plays = Vec::new();
     for (settings, classes) in SITES {
         for &(class, again) in classes {
-            plays.extend(cases.iter().map(|case| (settings, class, classes[0].0, again, case)));
+            plays.extend(
+                cases
+                    .iter()
+                    .map(|case| (settings, class, classes[0].0, again, case)),
+            );
         }
     }
     let next = AtomicUsize::new(0);
@@ -213,7 +238,7 @@
     class: &str,
     safe: &str,
     again: bool,
-    (say, then, fate): &(String, Then, Fate),
+    (say, then, fate): &(String, Then, Execution),
     left: u64,
 ) {
     let what = format!("{class}: {say:?} {then:?}");
@@ -221,44 +246,66 @@
     let mut stage = Stage::with_settings(&["w1", "w2"], None, settings);
     let workers = Workers::start(vec![stage.take("w1"), stage.take("w2")], say.clone(), *then);
     let (attempts, answer) = match fate {
-        Fate::Served => (1, "200 t1"),
-        Fate::Doubtful | Fate::Late if !again => (1, "502"),
-        Fate::Doubtful | Fate::Never => (2, "200 t1"),
-        Fate::Refused => (1, "422"),
+        Execution::Served => (1, "200 t1"),
+        Execution::Doubtful | Execution::Late if !again => (1, "502"),
+        Execution::Doubtful | Execution::Never => (2, "200 t1"),
+        Execution::Refused => (1, "422"),
         // The other next hop may have been asked, and have answered, in time.
-        Fate::Late => (2, "HTTP/1.1 "),
+        Execution::Late => (2, "HTTP/1.1 "),
     };
     // Where nobody says who drops a repeat, it is held back up to the deadline.
-    let left = if class == "seat" && *fate == Fate::Doubtful { 800 } else { left };
+    let left = if class == "seat" && *fate == Execution::Doubtful {
+        800
+    } else {
+        left
+    };
     let start = Instant::now();
     stage.go_on(&job(class, "t1", left));
     stage.go_on(&format!("c expect {answer}"));
-    // However slow the machine is: before the next time that the settings name, the shortest deadline of 2 s, is over
-    // for the shortest of these.
-    assert!(start.elapsed() < Duration::from_millis(left + 1_200), "{what}: {:?}", start.elapsed());
-    if *fate == Fate::Refused {
+    // However slow the machine is: before the next time that the settings name, the shortest
+    // deadline of 2 s, is over for the shortest of these.
+    assert!(
+        start.elapsed() < Duration::from_millis(left + 1_200),
+        "{what}: {:?}",
+        start.elapsed()
+    );
+    if *fate == Execution::Refused {
         // What is wrong with a request costs its connection.
         stage.go_on("c expect end\nc close");
     }
-    // Where a next hop is on trial, what can't be repeated waits; where it closes just then, that may be lost.
-    let own = *fate == Fate::Served && *then == Then::Next;
+    // Where a next hop is on trial, what can't be repeated waits; where it closes just then, that
+    // may be lost.
+    let own = *fate == Execution::Served && *then == Then::Next;
     stage.go_on(&job(if own { class } else { safe }, "t2", 5_000));
     stage.go_on("c expect 200 t2");
     let ends = matches!(then, Then::Silence | Then::Flood(_) | Then::Trickle(_));
     while ends && !workers.requests.lock().unwrap().contains_key("closed") {
-        assert!(start.elapsed() < Duration::from_secs(8), "{what}: still open");
+        assert!(
+            start.elapsed() < Duration::from_secs(8),
+            "{what}: still open"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
     let requests = workers.end();
     // What may be repeated may also be, where the machine is slow.
     let most = |count, again| if again { count + 1 } else { count };
-    let least = if *fate == Fate::Late { 1 } else { attempts };
-    assert!((least..=most(attempts, again)).contains(&requests["t1"]), "{what}: {requests:?}");
-    assert!((1..=most(1, !own || again)).contains(&requests["t2"]), "{what}: {requests:?}");
+    let least = if *fate == Execution::Late {
+        1
+    } else {
+        attempts
+    };
+    assert!(
+        (least..=most(attempts, again)).contains(&requests["t1"]),
+        "{what}: {requests:?}"
+    );
+    assert!(
+        (1..=most(1, !own || again)).contains(&requests["t2"]),
+        "{what}: {requests:?}"
+    );
 }
 
-// Guards against a lost job, one that runs twice, or two answers, however a connection breaks before, within, or right
-// after an answer.
+// Guards against a lost job, one that runs twice, or two answers, however a connection breaks
+// before, within, or right after an answer.
 #[test]
 fn an_attempt_whose_connection_breaks_ends_once_and_as_what_it_was() {
     let started = line("\"state\":\"started\"");
@@ -269,65 +316,126 @@
     let mut cases = Vec::new();
     for then in [Then::Reset, Then::Close] {
         cases.extend([
-            case(&[], then, Fate::Doubtful),
-            case(&["HTTP/1.1 200 "], then, Fate::Doubtful),
-            case(&[HEAD], then, Fate::Doubtful),
-            case(&[HEAD, &started], then, Fate::Doubtful),
-            case(&[HEAD, &started, &half], then, Fate::Doubtful),
-            case(&["HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"id\":\"t1\","], then, Fate::Doubtful),
+            case(&[], then, Execution::Doubtful),
+            case(&["HTTP/1.1 200 "], then, Execution::Doubtful),
+            case(&[HEAD], then, Execution::Doubtful),
+            case(&[HEAD, &started], then, Execution::Doubtful),
+            case(&[HEAD, &started, &half], then, Execution::Doubtful),
+            case(
+                &["HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"id\":\"t1\","],
+                then,
+                Execution::Doubtful,
+            ),
             // After its last word nothing can take it back.
-            case(&[HEAD, &started, &last], then, Fate::Served),
-            case(&[HEAD, &started, &last, "0\r\n\r\n"], then, Fate::Served),
-            case(&[&done("t1")], then, Fate::Served),
-            case(&["HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 9\r\n\r\n"], then, Fate::Never),
-            case(&["HTTP/1.1 500 Broken\r\nContent-Length: 9\r\n\r\n"], then, Fate::Doubtful),
+            case(&[HEAD, &started, &last], then, Execution::Served),
+            case(
+                &[HEAD, &started, &last, "0\r\n\r\n"],
+                then,
+                Execution::Served,
+            ),
+            case(&[&done("t1")], then, Execution::Served),
+            case(
+                &["HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 9\r\n\r\n"],
+                then,
+                Execution::Never,
+            ),
+            case(
+                &["HTTP/1.1 500 Broken\r\nContent-Length: 9\r\n\r\n"],
+                then,
+                Execution::Doubtful,
+            ),
         ]);
     }
     table(&cases, 5_000);
 }
 
-// Guards against a word that is believed beyond the last, or for another job; and against an end without a last word.
+// Guards against a word that is believed beyond the last, or for another job; and against an end
+// without a last word.
 #[test]
 fn an_answer_counts_up_to_its_last_word_and_without_one_is_a_reset() {
     let started = line("\"state\":\"started\"");
     let last = line("\"state\":\"done\",\"result\":\"t1\"");
     let case = |say: &[&str], fate| (say.concat(), Then::Next, fate);
     let cases = [
-        case(&[HEAD, &last, &line("\"state\":\"done\",\"result\":\"other\""), "0\r\n\r\n"], Fate::Served),
-        case(&[HEAD, &last, &line("\"state\":\"failed\""), "0\r\n\r\n"], Fate::Served),
-        case(&[HEAD, &last, "5\r\n{\"id\"\r\n0\r\n\r\n"], Fate::Served),
-        case(&[HEAD, "1\r\n\n\r\n", &started, &last, "0\r\n\r\n"], Fate::Served),
-        case(&[&done("t1"), &done("t1")], Fate::Served),
-        case(&[&done("t1"), &done("t2").replace("\"result\":\"t2\"", "\"result\":\"xx\"")], Fate::Served),
         case(
-            &[&done("t1"), "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"],
-            Fate::Served,
+            &[
+                HEAD,
+                &last,
+                &line("\"state\":\"done\",\"result\":\"other\""),
+                "0\r\n\r\n",
+            ],
+            Execution::Served,
+        ),
+        case(
+            &[HEAD, &last, &line("\"state\":\"failed\""), "0\r\n\r\n"],
+            Execution::Served,
+        ),
+        case(
+            &[HEAD, &last, "5\r\n{\"id\"\r\n0\r\n\r\n"],
+            Execution::Served,
+        ),
+        case(
+            &[HEAD, "1\r\n\n\r\n", &started, &last, "0\r\n\r\n"],
+            Execution::Served,
+        ),
+        case(&[&done("t1"), &done("t1")], Execution::Served),
+        case(
+            &[
+                &done("t1"),
+                &done("t2").replace("\"result\":\"t2\"", "\"result\":\"xx\""),
+            ],
+            Execution::Served,
+        ),
+        case(
+            &[
+                &done("t1"),
+                "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+            ],
+            Execution::Served,
+        ),
+        case(&[&done("t1"), "HTTP"], Execution::Served),
+        case(&[HEAD, &started, "0\r\n\r\n"], Execution::Doubtful),
+        case(&[HEAD, "0\r\n\r\n"], Execution::Doubtful),
+        case(
+            &["HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"],
+            Execution::Doubtful,
+        ),
+        case(&[&done("t9")], Execution::Doubtful),
+        case(
+            &[HEAD, &line("\"state\":\"lost\""), "0\r\n\r\n"],
+            Execution::Doubtful,
+        ),
+        case(
+            &[HEAD, &line("\"state\":\"failed\""), "0\r\n\r\n"],
+            Execution::Doubtful,
+        ),
+        case(
+            &[HEAD, &line("\"state\":\"returned\""), "0\r\n\r\n"],
+            Execution::Never,
+        ),
+        case(
+            &["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"],
+            Execution::Doubtful,
+        ),
+        case(
+            &["HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n"],
+            Execution::Refused,
         ),
-        case(&[&done("t1"), "HTTP"], Fate::Served),
-        case(&[HEAD, &started, "0\r\n\r\n"], Fate::Doubtful),
-        case(&[HEAD, "0\r\n\r\n"], Fate::Doubtful),
-        case(&["HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"], Fate::Doubtful),
-        case(&[&done("t9")], Fate::Doubtful),
-        case(&[HEAD, &line("\"state\":\"lost\""), "0\r\n\r\n"], Fate::Doubtful),
-        case(&[HEAD, &line("\"state\":\"failed\""), "0\r\n\r\n"], Fate::Doubtful),
-        case(&[HEAD, &line("\"state\":\"returned\""), "0\r\n\r\n"], Fate::Never),
-        case(&["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"], Fate::Doubtful),
-        case(&["HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n"], Fate::Refused),
     ];
     table(&cases, 5_000);
 }
 
-// Guards against an attempt that is out for ever at a next hop that has fallen silent, and against a second answer
-// when the time of the attempt and its client's run out together.
+// Guards against an attempt that is out for ever at a next hop that has fallen silent, and against
+// a second answer when the time of the attempt and its client's run out together.
 #[test]
 fn half_a_line_and_then_silence_ends_with_the_time_of_the_attempt() {
     let half = format!("{HEAD}{}4\r\n{{\"id\r\n", line("\"state\":\"started\""));
-    let cases = [String::new(), HEAD.into(), half].map(|say| (say, Then::Silence, Fate::Late));
+    let cases = [String::new(), HEAD.into(), half].map(|say| (say, Then::Silence, Execution::Late));
     table(&cases, 600);
 }
 
-// Guards against a next hop that says forever that it will answer: it holds the loop that everyone is served by, or its
-// attempt past its time, or its connection after that.
+// Guards against a next hop that says forever that it will answer: it holds the loop that everyone
+// is served by, or its attempt past its time, or its connection after that.
 #[test]
 fn interim_answers_without_end_end_the_attempt_and_its_connection_and_hold_up_nobody() {
     const EACH: [&str; 3] = [
@@ -339,10 +447,24 @@
     // The machine reads a mebibyte of them slowly where nothing is optimized: one at a time.
     for text in EACH {
         for (class, again) in [("rate-push", true), ("booking-import", false)] {
-            play(SETTINGS, class, "rate-push", again, &(say(), Then::Flood(text), Fate::Doubtful), 5_000);
+            play(
+                SETTINGS,
+                class,
+                "rate-push",
+                again,
+                &(say(), Then::Flood(text), Execution::Doubtful),
+                5_000,
+            );
         }
     }
-    table(&[(say(), Then::Trickle(EACH[2]), Fate::Late)], 1_000);
+    table(&[(say(), Then::Trickle(EACH[2]), Execution::Late)], 1_000);
     // Some are no harm.
-    table(&[(EACH.concat().repeat(30) + &done("t1"), Then::Next, Fate::Served)], 5_000);
+    table(
+        &[(
+            EACH.concat().repeat(30) + &done("t1"),
+            Then::Next,
+            Execution::Served,
+        )],
+        5_000,
+    );
 }
--- a/crates/net/tests/deployments.rs
+++ b/crates/net/tests/deployments.rs
@@ -1,6 +1,6 @@
 //! What further deployments bring along in their requests, played on loopback against stand-ins.
 
-use pumiceway_rig::Stage;
+use pumiceway_test_support::Stage;
 
 /// Three classes, one of each kind of repeat; two tenants.
 const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
@@ -14,7 +14,8 @@
     Stage::with_settings(hops, None, SETTINGS).go_on(script);
 }
 
-// Guards against a hold that a next hop can't tell from another one: it came without its key, or with another.
+// Guards against a hold that a next hop can't tell from another one: it came without its key, or
+// with another.
 #[test]
 fn a_keyed_job_keeps_its_key_byte_for_byte_on_each_attempt() {
     play(
@@ -70,7 +71,8 @@
     SETTINGS.replacen('{', &format!("{{{more},"), 1)
 }
 
-const TENANTS: &str = r#""tenants":[{"name":"acme","quota-per-s":9},{"name":"other","quota-per-s":9}]"#;
+const TENANTS: &str =
+    r#""tenants":[{"name":"acme","quota-per-s":9},{"name":"other","quota-per-s":9}]"#;
 
 fn of(org: &str, id: &str) -> String {
     format!(
@@ -82,8 +84,14 @@
 #[test]
 fn a_tenant_that_the_settings_lack_or_that_comes_twice_reaches_no_next_hop() {
     let mut script = String::new();
-    for (n, org) in
-        ["X-Org: acne", "X-Org:", "X-Org: acme\\r\\nX-Org: acme", "X-Org: acme,other"].iter().enumerate()
+    for (n, org) in [
+        "X-Org: acne",
+        "X-Org:",
+        "X-Org: acme\\r\\nX-Org: acme",
+        "X-Org: acme,other",
+    ]
+    .iter()
+    .enumerate()
     {
         script += &format!(
             "c{n} send {}\n c{n} expect 400\n c{n} expect end\n",
@@ -111,17 +119,22 @@
 #[test]
 fn where_nobody_shares_the_workers_any_tenant_is_served() {
     let mut script = String::new();
-    for (n, org) in ["X-Org: acne", "X-Org: a\\r\\nX-Org: b", "X-Org: \u{e9}"].iter().enumerate() {
+    for (n, org) in ["X-Org: acne", "X-Org: a\\r\\nX-Org: b", "X-Org: \u{e9}"]
+        .iter()
+        .enumerate()
+    {
         script += &format!("c send {}\n", of(&format!("{org}\\r\\n"), &format!("t{n}")));
         script += if n == 0 { "w1 wait a\n" } else { "" };
-        script += &format!("a expect POST /lookup/k x-txn:\\x20t{n}\n a send done {n}\n c expect 200 {n}\n");
+        script += &format!(
+            "a expect POST /lookup/k x-txn:\\x20t{n}\n a send done {n}\n c expect 200 {n}\n"
+        );
     }
     play(&["w1"], &script);
 }
 
-// Guards against a report that is lost with the line that brought it: the next job went to the same next hop, whose
-// queue it had told of. In a job that was turned away it is seen in the tests of next hops, as such a one is left
-// alone for a while whatever it reports.
+// Guards against a report that is lost with the line that brought it: the next job went to the same
+// next hop, whose queue it had told of. In a job that was turned away it is seen in the tests of
+// next hops, as such a one is left alone for a while whatever it reports.
 #[test]
 fn the_load_report_of_a_job_that_is_done_or_failed_decides_where_the_next_one_goes() {
     let reports = settings(r#""report":{"fields":["waiting","active","x0"],"via":"answers"}"#);
@@ -172,8 +185,8 @@
     );
 }
 
-// Guards against a dispatcher of a large fleet that draws the time of its first call as if all of them shared the
-// agent beside it, which it then reads minutes late.
+// Guards against a dispatcher of a large fleet that draws the time of its first call as if all of
+// them shared the agent beside it, which it then reads minutes late.
 #[test]
 fn where_lists_are_pushed_the_agent_is_asked_from_the_first_moment() {
     let pushed = settings(r#""discovery":"automatic","n-instances":10000"#);
@@ -196,17 +209,27 @@
     );
 }
 
-// Guards against a figure that the program has no use for keeping a job out, and against nonsense that counts as 1.
+// Guards against a figure that the program has no use for keeping a job out, and against nonsense
+// that counts as 1.
 #[test]
 fn further_figures_are_skipped_and_nonsense_is_turned_down() {
     let mut script = String::new();
-    for (n, labels) in ["slots", "slots=many", "memory=-1", "slots=1;memory=2"].iter().enumerate() {
+    for (n, labels) in ["slots", "slots=many", "memory=-1", "slots=1;memory=2"]
+        .iter()
+        .enumerate()
+    {
         let header = format!("X-Labels: {labels}\\r\\n");
-        script += &format!("c{n} send {}\n c{n} expect 400\n", of(&header, &format!("t{n}")));
+        script += &format!(
+            "c{n} send {}\n c{n} expect 400\n",
+            of(&header, &format!("t{n}"))
+        );
     }
     script += &format!(
         "d send {}\n w1 wait a\n a expect POST /lookup/k x-txn:\\x20t9\n a send done 1\n d expect 200 1",
-        of("X-Labels: slots=1,memory=0.5, depth=3,\\r\\nX-Resent: 1\\r\\n", "t9")
+        of(
+            "X-Labels: slots=1,memory=0.5, depth=3,\\r\\nX-Resent: 1\\r\\n",
+            "t9"
+        )
     );
     play(&["w1"], &script);
 }
--- a/crates/net/tests/endings.rs
+++ b/crates/net/tests/endings.rs
@@ -1,12 +1,12 @@
-//! How connections of clients end, on loopback: each test plays the core behind a front, so that it says in which order
-//! things happen. The front's clock stands still unless a test moves it.
+//! How connections of clients end, on loopback: each test plays the core behind a front, so that it
+//! says in which order things happen. The front's clock stands still unless a test moves it.
 
-use pumiceway_core::{Answer, Event, Ticket, Transaction};
+use pumiceway_core::{ClientRequest, ClientResponse, Event, RequestHandle};
 use pumiceway_net::config::Sockets;
-use pumiceway_net::front::admission::REQUEST;
-use pumiceway_net::front::http::Front;
-use pumiceway_net::front::{Gate, Heard};
-use pumiceway_rig::SETTINGS;
+use pumiceway_net::frontend::admission::REQUEST;
+use pumiceway_net::frontend::http::HttpFrontend;
+use pumiceway_net::frontend::{EventSender, LoopMessage};
+use pumiceway_test_support::SETTINGS;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 /// A front without a core.
 struct Door {
     address: SocketAddr,
-    heard: mpsc::UnboundedReceiver<Heard>,
+    heard: mpsc::UnboundedReceiver<LoopMessage>,
     close: watch::Sender<bool>,
     moves: mpsc::UnboundedSender<(Duration, Sender<()>)>,
     thread: Option<JoinHandle<()>>,
@@ -31,15 +31,24 @@
 
 /// A client that the core was told of.
 struct Client {
-    ticket: Ticket,
-    transaction: Transaction,
-    answer: oneshot::Sender<Answer>,
+    handle: RequestHandle,
+    request: ClientRequest,
+    response: oneshot::Sender<ClientResponse>,
 }
 
 impl Door {
     /// A front that has not begun to accept connections before `before` has returned.
-    fn after(inbound: usize, spare: usize, before: impl FnOnce(SocketAddr, &watch::Sender<bool>)) -> Door {
-        Door::on(std::net::TcpListener::bind("127.0.0.1:0").unwrap(), inbound, spare, before)
+    fn after(
+        inbound: usize,
+        spare: usize,
+        before: impl FnOnce(SocketAddr, &watch::Sender<bool>),
+    ) -> Door {
+        Door::on(
+            std::net::TcpListener::bind("127.0.0.1:0").unwrap(),
+            inbound,
+            spare,
+            before,
+        )
     }
 
     fn on(
@@ -51,11 +60,11 @@
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
         let (close, closing) = watch::channel(false);
-        let (gate, heard) = Gate::new();
+        let (events, heard) = EventSender::new();
         before(address, &close);
-        let front = Front {
-            gate,
-            conf: Arc::new(serde_json::from_str(SETTINGS).unwrap()),
+        let frontend = HttpFrontend {
+            events,
+            settings: Arc::new(serde_json::from_str(SETTINGS).unwrap()),
             ready: Arc::new(AtomicBool::new(true)),
         };
         let (moves, mut moved) = mpsc::unbounded_channel::<(Duration, Sender<()>)>();
@@ -63,7 +72,8 @@
             let mut runtime = tokio::runtime::Builder::new_current_thread();
             let runtime = runtime.enable_all().start_paused(true).build().unwrap();
             runtime.block_on(async {
-                // A clock that stands goes on by itself where nothing is left to do, unless something blocks.
+                // A clock that stands goes on by itself where nothing is left to do, unless
+                // something blocks.
                 let (over, stands) = channel::<()>();
                 tokio::task::spawn_blocking(move || stands.recv().is_err());
                 let listener = TcpListener::from_std(listener).unwrap();
@@ -75,12 +85,18 @@
                     std::future::pending().await
                 };
                 tokio::select! {
-                    () = front.serve(listener, Sockets { inbound, spare, outbound: 1 }, closing) => drop(over),
+                    () = frontend.serve(listener, Sockets { inbound, spare, outbound: 1 }, closing) => drop(over),
                     () = clock => {}
                 }
             });
         });
-        Door { address, heard, close, moves, thread: Some(thread) }
+        Door {
+            address,
+            heard,
+            close,
+            moves,
+            thread: Some(thread),
+        }
     }
 
     /// Time goes by for the front, which may end with it.
@@ -88,7 +104,11 @@
         let (done, is_done) = channel();
         if self.moves.send((time, done)).is_ok() {
             let is_done = is_done.recv_timeout(PATIENCE);
-            assert_ne!(is_done, Err(RecvTimeoutError::Timeout), "the front's clock stands still");
+            assert_ne!(
+                is_done,
+                Err(RecvTimeoutError::Timeout),
+                "the front's clock stands still"
+            );
         }
     }
 
@@ -100,7 +120,7 @@
         connect(self.address)
     }
 
-    fn next(&mut self) -> Option<Heard> {
+    fn next(&mut self) -> Option<LoopMessage> {
         let end = Instant::now() + PATIENCE;
         loop {
             match self.heard.try_recv() {
@@ -113,20 +133,28 @@
 
     fn held(&mut self) -> Client {
         match self.next() {
-            Some(Heard::Waiting { ticket, transaction, answer, .. }) => {
-                Client { ticket, transaction, answer }
-            }
+            Some(LoopMessage::Submitted {
+                handle,
+                request,
+                response,
+                ..
+            }) => Client {
+                handle,
+                request,
+                response,
+            },
             other => panic!("no request is held: {other:?}"),
         }
     }
 
     fn left(&mut self, client: &Client) {
         match self.next() {
-            Some(Heard::Event(Event::Left { ticket })) if ticket == client.ticket => {}
+            Some(LoopMessage::Event(Event::ClientDisconnected { handle }))
+                if handle == client.handle => {}
             other => panic!("its leaving is not noticed: {other:?}"),
         }
         // It is told of first, and then lets go.
-        soon("an answer is waited for", || client.answer.is_closed());
+        soon("an answer is waited for", || client.response.is_closed());
     }
 
     /// The front is told to close, and has ended.
@@ -163,8 +191,8 @@
     }
 }
 
-/// What the system knows of one side of a connection: its state, and bytes that the other side has yet to take, and
-/// this one to read.
+/// What the system knows of one side of a connection: its state, and bytes that the other side has
+/// yet to take, and this one to read.
 fn side(local: SocketAddr, remote: SocketAddr) -> Option<(u8, u32, u32)> {
     let name = |at: SocketAddr| format!("0100007F:{:04X}", at.port());
     let hex = |text: &str| u32::from_str_radix(text, 16).unwrap();
@@ -172,7 +200,8 @@
     table.lines().find_map(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let (out, come) = fields.get(4)?.split_once(':')?;
-        (fields[1..3] == [name(local), name(remote)]).then(|| (hex(fields[3]) as u8, hex(out), hex(come)))
+        (fields[1..3] == [name(local), name(remote)])
+            .then(|| (hex(fields[3]) as u8, hex(out), hex(come)))
     })
 }
 
@@ -180,7 +209,10 @@
 fn all_is_read(stream: &TcpStream) {
     let (ours, fronts) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
     soon("the front does not read", || {
-        matches!((side(ours, fronts), side(fronts, ours)), (Some((_, 0, _)), Some((_, _, 0))))
+        matches!(
+            (side(ours, fronts), side(fronts, ours)),
+            (Some((_, 0, _)), Some((_, _, 0)))
+        )
     });
 }
 
@@ -188,14 +220,19 @@
 fn is_closed_by_the_front(stream: &TcpStream) {
     const CLOSE_WAIT: u8 = 8;
     let (ours, fronts) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
-    soon("the front does not close", || side(ours, fronts).is_some_and(|(state, ..)| state == CLOSE_WAIT));
+    soon("the front does not close", || {
+        side(ours, fronts).is_some_and(|(state, ..)| state == CLOSE_WAIT)
+    });
 }
 
-/// Waits until the front has ended its sending, whether or not there is room for what it has sent last.
+/// Waits until the front has ended its sending, whether or not there is room for what it has sent
+/// last.
 fn has_said_all(stream: &TcpStream) {
     const FIN_WAIT: [u8; 2] = [4, 5];
     let (ours, fronts) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
-    soon("the front says more", || side(fronts, ours).is_some_and(|(state, ..)| FIN_WAIT.contains(&state)));
+    soon("the front says more", || {
+        side(fronts, ours).is_some_and(|(state, ..)| FIN_WAIT.contains(&state))
+    });
 }
 
 fn request(id: &str, body: &str) -> String {
@@ -207,7 +244,8 @@
 
 const CHUNKED: &str = "POST /rate-push/k HTTP/1.1\r\nX-Txn: t1\r\nX-Remaining-Ms: 5000\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n";
 
-/// All that comes up to the end, which has to be a clean one: a reset may take what came before it along.
+/// All that comes up to the end, which has to be a clean one: a reset may take what came before it
+/// along.
 fn to_the_end(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     let end = stream.read_to_end(&mut text);
@@ -223,7 +261,10 @@
 }
 
 fn says_busy(text: &str) {
-    assert!(text.starts_with(BUSY) && text.contains("retry-after: "), "{text:?}");
+    assert!(
+        text.starts_with(BUSY) && text.contains("retry-after: "),
+        "{text:?}"
+    );
 }
 
 /// Sends as much as the other side takes, up to so many bytes.
@@ -231,15 +272,15 @@
     (0..bytes >> 14).try_for_each(|_| stream.write_all(&[b'x'; 1 << 14]))
 }
 
-/// What is sent after our end of an answer is taken in and thrown away, so no reset comes back: one that has, or comes
-/// for the first part, refuses a later one.
+/// What is sent after our end of an answer is taken in and thrown away, so no reset comes back: one
+/// that has, or comes for the first part, refuses a later one.
 fn pour_all(stream: &TcpStream) {
     pour(stream, 1 << 20).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
 }
 
-// Guards against a job that is sent on for a client that has gone: with bytes unread behind its request the parser does
-// not look for the end of the connection.
+// Guards against a job that is sent on for a client that has gone: with bytes unread behind its
+// request the parser does not look for the end of the connection.
 #[test]
 fn a_client_that_has_sent_more_than_its_request_and_goes_has_left() {
     let behind = [
@@ -271,24 +312,29 @@
     let streams: Vec<TcpStream> = (0..64).map(|_| door.client()).collect();
     let mut clients = Vec::new();
     for (n, mut stream) in streams.iter().enumerate() {
-        stream.write_all(request(&format!("t{n}"), "x").as_bytes()).unwrap();
+        stream
+            .write_all(request(&format!("t{n}"), "x").as_bytes())
+            .unwrap();
         clients.push(door.held());
     }
     for stream in streams {
-        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
-    let mut left: Vec<Ticket> = (0..64)
+    let mut left: Vec<RequestHandle> = (0..64)
         .map(|_| match door.next() {
-            Some(Heard::Event(Event::Left { ticket })) => ticket,
+            Some(LoopMessage::Event(Event::ClientDisconnected { handle })) => handle,
             other => panic!("{other:?}"),
         })
         .collect();
     left.sort();
-    assert_eq!(left, clients.iter().map(|c| c.ticket).collect::<Vec<_>>());
+    assert_eq!(left, clients.iter().map(|c| c.handle).collect::<Vec<_>>());
     door.ended();
 }
 
-// Guards against a client that floods behind its request: memory, the service of others, and its own end unseen.
+// Guards against a client that floods behind its request: memory, the service of others, and its
+// own end unseen.
 #[test]
 fn a_flood_behind_a_held_request_ends_its_connection_and_harms_no_other() {
     let mut door = Door::open(4, 1);
@@ -298,26 +344,31 @@
     let poured = std::thread::spawn(move || pour(&flooder, 64 << 20).is_err());
     let mut other = door.client();
     other.write_all(request("t2", "x").as_bytes()).unwrap();
-    // Which of the two is heard of first is open: the flood ends as soon as it has filled what there is room for.
+    // Which of the two is heard of first is open: the flood ends as soon as it has filled what
+    // there is room for.
     let mut told = [door.next(), door.next()];
-    told.sort_by_key(|heard| matches!(heard, Some(Heard::Event(_))));
+    told.sort_by_key(|heard| matches!(heard, Some(LoopMessage::Event(_))));
     let [
-        Some(Heard::Waiting { transaction, answer: second, .. }),
-        Some(Heard::Event(Event::Left { ticket })),
+        Some(LoopMessage::Submitted {
+            request,
+            response: second,
+            ..
+        }),
+        Some(LoopMessage::Event(Event::ClientDisconnected { handle })),
     ] = told
     else {
         panic!("not a request and a leaving");
     };
-    assert_eq!((transaction.job.id.as_str(), ticket), ("t2", first.ticket));
-    second.send(Answer::Served("2".into())).unwrap();
-    let mut answer = [0; 12];
-    other.read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"HTTP/1.1 200");
+    assert_eq!((request.job.id.as_str(), handle), ("t2", first.handle));
+    second.send(ClientResponse::Served("2".into())).unwrap();
+    let mut response = [0; 12];
+    other.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"HTTP/1.1 200");
     assert!(poured.join().unwrap(), "all of it was taken in");
 }
 
-// Guards against what came while a request was held being taken for the next one, and against a close over what of it is
-// unread taking the answer along.
+// Guards against what came while a request was held being taken for the next one, and against a
+// close over what of it is unread taking the answer along.
 #[test]
 fn what_comes_behind_a_held_request_is_thrown_away_and_its_answer_can_be_read() {
     let mut door = Door::open(4, 1);
@@ -326,25 +377,35 @@
     let client = door.held();
     stream.write_all(request("t2", "x").as_bytes()).unwrap();
     pour(&stream, 1 << 20).unwrap();
-    // What has come by then was sent while the request was held; what is read later may be the next one.
+    // What has come by then was sent while the request was held; what is read later may be the next
+    // one.
     all_is_read(&stream);
-    client.answer.send(Answer::Served("1".into())).unwrap();
+    client
+        .response
+        .send(ClientResponse::Served("1".into()))
+        .unwrap();
     something_came(&stream);
     pour_all(&stream);
-    let answer = to_the_end(&stream);
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\n1"), "{answer:?}");
-    assert!(answer.contains("connection: close"), "{answer:?}");
+    let response = to_the_end(&stream);
+    assert!(
+        response.starts_with("HTTP/1.1 200") && response.ends_with("\r\n\r\n1"),
+        "{response:?}"
+    );
+    assert!(response.contains("connection: close"), "{response:?}");
     door.ended();
     door.heard_nothing_more();
 }
 
-// Guards against a busy answer at the door that a reset takes along, as its request comes after the close.
+// Guards against a busy answer at the door that a reset takes along, as its request comes after the
+// close.
 #[test]
 fn whoever_is_turned_away_can_read_the_busy_answer_whenever_its_request_comes() {
-    // One is served, four have room for a busy answer, and three have none: they come before any of the others has been
-    // silent for so long that it makes room.
+    // One is served, four have room for a busy answer, and three have none: they come before any of
+    // the others has been silent for so long that it makes room.
     let mut streams = Vec::new();
-    let mut door = Door::after(1, 4, |address, _| streams.extend((0..8).map(|_| connect(address))));
+    let mut door = Door::after(1, 4, |address, _| {
+        streams.extend((0..8).map(|_| connect(address)))
+    });
     for stream in &streams[5..] {
         something_came(stream);
         let mut sender = stream;
@@ -357,8 +418,8 @@
     door.heard_nothing_more();
 }
 
-// Guards against half a request that is closed without a word, to make room or for our patience, and against a last word
-// that a reset takes along.
+// Guards against half a request that is closed without a word, to make room or for our patience,
+// and against a last word that a reset takes along.
 #[test]
 fn half_a_request_gets_a_last_word_that_can_be_read_whoever_ends_it() {
     let mut door = Door::open(1, 64);
@@ -394,21 +455,26 @@
     door.heard_nothing_more();
 }
 
-// Guards against clients whose connections the system has accepted for us and that are reset with the listener.
+// Guards against clients whose connections the system has accepted for us and that are reset with
+// the listener.
 #[test]
 fn connections_that_wait_to_be_accepted_at_the_close_get_a_busy_answer() {
     let mut streams = Vec::new();
     let mut door = Door::after(4, 64, |address, close| {
         streams.extend((0..32).map(|_| connect(address)));
         for (n, mut stream) in streams.iter().enumerate().filter(|(n, _)| n % 2 == 0) {
-            stream.write_all(request(&format!("t{n}"), "x").as_bytes()).unwrap();
+            stream
+                .write_all(request(&format!("t{n}"), "x").as_bytes())
+                .unwrap();
         }
         close.send(true).unwrap();
     });
     for (n, mut stream) in streams.iter().enumerate() {
         something_came(stream);
         if n % 2 == 1 {
-            stream.write_all(request(&format!("t{n}"), "x").as_bytes()).unwrap();
+            stream
+                .write_all(request(&format!("t{n}"), "x").as_bytes())
+                .unwrap();
         }
         pour_all(stream);
         says_busy(&to_the_end(stream));
@@ -417,13 +483,16 @@
     door.heard_nothing_more();
 }
 
-// Guards against a request that is read after the end of our sending and sent on, against half a one that is lost with
-// its connection, and against an answer that is cut short, all at the moment of the close.
+// Guards against a request that is read after the end of our sending and sent on, against half a
+// one that is lost with its connection, and against an answer that is cut short, all at the moment
+// of the close.
 #[test]
 fn at_the_close_each_connection_has_what_it_is_owed() {
     let mut door = Door::open(8, 2);
     let [resting, mut half, mut waiting, new] = [(); 4].map(|()| door.client());
-    (&resting).write_all(b"GET /-/ready HTTP/1.1\r\n\r\n").unwrap();
+    (&resting)
+        .write_all(b"GET /-/ready HTTP/1.1\r\n\r\n")
+        .unwrap();
     something_came(&resting);
     let text = request("t2", "xx");
     half.write_all(&text.as_bytes()[..text.len() - 1]).unwrap();
@@ -431,8 +500,8 @@
     let first = door.held();
     door.close.send(true).unwrap();
     // The one that rests: our sending ends, and what comes after is not sent on.
-    let mut answer = vec![0; "HTTP/1.1 200".len()];
-    (&resting).read_exact(&mut answer).unwrap();
+    let mut response = vec![0; "HTTP/1.1 200".len()];
+    (&resting).read_exact(&mut response).unwrap();
     let rest = std::thread::spawn(move || {
         let rest = to_the_end(&resting);
         (&resting).write_all(request("t9", "x").as_bytes()).unwrap();
@@ -447,12 +516,20 @@
     // The rest of the half one comes after the close: it is owed an answer, and has one.
     half.write_all(&text.as_bytes()[text.len() - 1..]).unwrap();
     let second = door.held();
-    assert_eq!(second.transaction.job.id, "t2");
+    assert_eq!(second.request.job.id, "t2");
     let large = "y".repeat(60 << 10);
-    second.answer.send(Answer::Served(large.clone().into())).unwrap();
+    second
+        .response
+        .send(ClientResponse::Served(large.clone().into()))
+        .unwrap();
     let text = to_the_end(&half);
     assert!(text.starts_with("HTTP/1.1 200") && text.ends_with(&large));
-    first.answer.send(Answer::Failed("over")).unwrap();
+    first
+        .response
+        .send(ClientResponse::Failed(
+            pumiceway_core::Failure::DispatcherEnded,
+        ))
+        .unwrap();
     assert!(to_the_end(&waiting).starts_with("HTTP/1.1 502"));
     assert!(rest.join().unwrap().ends_with("\r\n\r\n"));
     drop((waiting, half, new));
@@ -460,13 +537,16 @@
     door.heard_nothing_more();
 }
 
-// Guards against an end that waits for a client which keeps its connection open, and never reads nor closes.
+// Guards against an end that waits for a client which keeps its connection open, and never reads
+// nor closes.
 #[test]
 fn a_client_that_never_closes_holds_up_the_close_for_a_bounded_time() {
     let mut door = Door::open(8, 2);
     let streams = [(); 3].map(|()| door.client());
     for stream in &streams {
-        (&*stream).write_all(b"GET /-/ready HTTP/1.1\r\n\r\n").unwrap();
+        (&*stream)
+            .write_all(b"GET /-/ready HTTP/1.1\r\n\r\n")
+            .unwrap();
         something_came(stream);
     }
     door.close.send(true).unwrap();
@@ -489,7 +569,9 @@
 fn narrow() -> Door {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     // What is accepted has the same.
-    socket2::SockRef::from(&listener).set_send_buffer_size(SMALL).unwrap();
+    socket2::SockRef::from(&listener)
+        .set_send_buffer_size(SMALL)
+        .unwrap();
     Door::on(listener, 8, 2, |_, _| {})
 }
 
@@ -508,7 +590,10 @@
     let mut stream = narrow_client(door.address);
     stream.write_all(request(id, "x").as_bytes()).unwrap();
     let client = door.held();
-    client.answer.send(Answer::Served(result.to_owned().into())).unwrap();
+    client
+        .response
+        .send(ClientResponse::Served(result.to_owned().into()))
+        .unwrap();
     something_came(&stream);
     stream
 }
@@ -523,7 +608,8 @@
     Last,
 }
 
-// Guards against the end of an answer that is lost as the process stops while its client is still reading.
+// Guards against the end of an answer that is lost as the process stops while its client is still
+// reading.
 #[test]
 fn an_answer_that_is_half_written_at_the_close_arrives_whole() {
     let result = "y".repeat(RESULT - 1) + "z";
@@ -540,7 +626,10 @@
         if rests == Rests::First {
             door.goes_by(Duration::from_millis(1_300));
             door.goes_by(Duration::ZERO);
-            assert!(!door.thread.as_ref().unwrap().is_finished(), "it ended with an answer half written");
+            assert!(
+                !door.thread.as_ref().unwrap().is_finished(),
+                "it ended with an answer half written"
+            );
         }
         let (mut text, mut part) = (Vec::new(), [0; 512]);
         loop {
@@ -558,7 +647,11 @@
         }
         let text = String::from_utf8(text).unwrap();
         assert!(text.starts_with("HTTP/1.1 200"), "{rests:?}: {text:.100}");
-        assert!(text.ends_with(&format!("\r\n\r\n{result}")), "{rests:?}: {} bytes", text.len());
+        assert!(
+            text.ends_with(&format!("\r\n\r\n{result}")),
+            "{rests:?}: {} bytes",
+            text.len()
+        );
         drop(stream);
         if door.thread.is_some() {
             door.has_ended();
@@ -567,7 +660,8 @@
     }
 }
 
-// Guards against a client that never reads its answer holding up the end, or the answers of others at the close.
+// Guards against a client that never reads its answer holding up the end, or the answers of others
+// at the close.
 #[test]
 fn a_client_that_never_reads_its_answer_holds_up_the_close_for_a_bounded_time() {
     let result = "y".repeat(RESULT);
@@ -577,14 +671,20 @@
     reads.write_all(request("t2", "x").as_bytes()).unwrap();
     let other = door.held();
     door.close.send(true).unwrap();
-    other.answer.send(Answer::Served("2".into())).unwrap();
+    other
+        .response
+        .send(ClientResponse::Served("2".into()))
+        .unwrap();
     assert!(to_the_end(&reads).ends_with("\r\n\r\n2"));
     drop(reads);
     // Ten seconds for an answer, one for its end.
     for (time, ends) in [(9_900, false), (200, false), (700, false), (400, true)] {
         door.goes_by(Duration::from_millis(time));
         door.goes_by(Duration::ZERO);
-        assert!(ends || !door.thread.as_ref().unwrap().is_finished(), "too soon: {time}");
+        assert!(
+            ends || !door.thread.as_ref().unwrap().is_finished(),
+            "too soon: {time}"
+        );
     }
     door.has_ended();
     drop(silent);
--- a/crates/net/tests/fronts.rs
+++ b/crates/net/tests/fronts.rs
@@ -1,6 +1,6 @@
 //! Both fronts, played on loopback against stand-ins.
 
-use pumiceway_rig::{Peer, SETTINGS, Stage, gearman_echo};
+use pumiceway_test_support::{Peer, SETTINGS, Stage, gearman_echo};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,7 +8,8 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Where lists are asked for: a call that we are slow to answer is waited for, and none comes beside it.
+/// Where lists are asked for: a call that we are slow to answer is waited for, and none comes
+/// beside it.
 fn asked(hops: &[&str], script: &str) -> Stage {
     let asked = r#""rules":{"ask-within-us":10000000},"discovery":"subscribe""#;
     let mut stage = Stage::with_settings(hops, None, &SETTINGS.replacen(r#""rules":{}"#, asked, 1));
@@ -66,20 +67,27 @@
     );
 }
 
-// Guards against a second request that hides behind the first or in its body, and against a contradiction of which
-// one side is believed here and the other by a next hop.
+// Guards against a second request that hides behind the first or in its body, and against a
+// contradiction of which one side is believed here and the other by a next hop.
 #[test]
 fn what_can_be_read_in_two_ways_is_turned_down_and_its_connection_closed() {
     let good = r"X-Txn: t1\r\nX-Remaining-Ms: 5000\r\n";
-    let hidden =
-        r"POST /rate-push/k HTTP/1.1\r\nX-Txn: t2\r\nX-Remaining-Ms: 5000\r\nContent-Length: 0\r\n\r\n";
+    let hidden = r"POST /rate-push/k HTTP/1.1\r\nX-Txn: t2\r\nX-Remaining-Ms: 5000\r\nContent-Length: 0\r\n\r\n";
     let mut script = String::new();
     for (n, (path, lines, body)) in [
-        ("k", r"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", r"0\r\n\r\n"),
+        (
+            "k",
+            r"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
+            r"0\r\n\r\n",
+        ),
         ("k", r"Content-Length: 1\r\nContent-Length: 1\r\n", "x"),
         ("k", r"Content-Length: 1\r\n", "x"),
         ("k", r"X-Txn: t3\r\nContent-Length: 0\r\n", ""),
-        ("k", r"X-Lane: rate-push\r\nX-Lane: booking-import\r\nContent-Length: 0\r\n", ""),
+        (
+            "k",
+            r"X-Lane: rate-push\r\nX-Lane: booking-import\r\nContent-Length: 0\r\n",
+            "",
+        ),
         ("k", r"X-Remaining-Ms: 7000\r\nContent-Length: 0\r\n", ""),
         ("k#x", r"Content-Length: 0\r\n", ""),
         ("k", r"Content-Length: -1\r\n", ""),
@@ -101,8 +109,9 @@
     Stage::play(&["w1"], &script);
 }
 
-// Guards against a client that holds a connection with half a request or none, against an early 413 that a reset
-// takes away, and against closing the connection of a client that is between two requests.
+// Guards against a client that holds a connection with half a request or none, against an early 413
+// that a reset takes away, and against closing the connection of a client that is between two
+// requests.
 #[test]
 fn patience_with_a_request_is_short_and_with_a_pause_between_two_long() {
     let start = std::time::Instant::now();
@@ -114,17 +123,29 @@
           k send raw GET /-/ready HTTP/1.1\r\n\r\n
           k expect 200",
     );
-    stage.go_on(&format!("u send raw {}\nu expect 413\nu expect end\n", "x".repeat(1 << 20)));
+    stage.go_on(&format!(
+        "u send raw {}\nu expect 413\nu expect end\n",
+        "x".repeat(1 << 20)
+    ));
     // Before patience with the other two can have ended.
-    assert!(start.elapsed() < Duration::from_millis(1_700), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(1_700),
+        "{:?}",
+        start.elapsed()
+    );
     stage.go_on(
         r"s expect 408
           s expect end
           t expect 408
           t expect end",
     );
-    // The next longest patience is 10 s. When it ends to the millisecond is seen where the clock is the test's own.
-    assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
+    // The next longest patience is 10 s. When it ends to the millisecond is seen where the clock is
+    // the test's own.
+    assert!(
+        start.elapsed() < Duration::from_secs(6),
+        "{:?}",
+        start.elapsed()
+    );
     stage.go_on(
         r"k send raw GET /-/ready HTTP/1.1\r\n\r\n
           k expect 200",
@@ -155,7 +176,8 @@
     );
 }
 
-// Guards against imports lost, one after the other, with connections that next hops drop when they are used again.
+// Guards against imports lost, one after the other, with connections that next hops drop when they
+// are used again.
 #[test]
 fn an_import_gets_a_fresh_connection_once_a_kept_one_was_found_dead() {
     Stage::play(
@@ -180,7 +202,8 @@
     );
 }
 
-// Guards against connections that are closed without a word where there is no room for them, or no more.
+// Guards against connections that are closed without a word where there is no room for them, or no
+// more.
 #[test]
 fn whoever_finds_no_room_is_told_so() {
     let settings = format!(r#"{SETTINGS},"limits":{{"sockets":320}}"#);
@@ -197,7 +220,8 @@
     let mut busy = 0;
     for mut client in clients {
         let mut answer = Vec::new();
-        // Its connection may be reset once it has the answer, as nobody reads the rest of the request.
+        // Its connection may be reset once it has the answer, as nobody reads the rest of the
+        // request.
         let _ = client.read_to_end(&mut answer);
         let answer = String::from_utf8_lossy(&answer);
         let told = answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after: 1\r\n");
@@ -207,7 +231,8 @@
     assert!(busy >= 84, "{busy}");
 }
 
-// Guards against a job that waits for a next hop which does not start it, and against two that both run it to the end.
+// Guards against a job that waits for a next hop which does not start it, and against two that both
+// run it to the end.
 #[test]
 fn a_push_that_does_not_start_gets_a_copy_and_the_first_is_cut() {
     let settings = SETTINGS.replacen("\"second-copies\":false", "\"second-copies\":true", 1);
@@ -262,7 +287,8 @@
     }
 }
 
-// Guards against a branch that stays out after its client has left: hyper alone notices at the next line.
+// Guards against a branch that stays out after its client has left: hyper alone notices at the next
+// line.
 #[test]
 fn a_client_that_leaves_has_its_branch_cut() {
     Stage::play(
@@ -309,7 +335,8 @@
     );
 }
 
-// Guards against sends to a next hop that drains, and against a malformed line of the watch taking it down.
+// Guards against sends to a next hop that drains, and against a malformed line of the watch taking
+// it down.
 #[test]
 fn the_watch_is_followed_and_survives_malformed_lines() {
     asked(
@@ -332,19 +359,27 @@
     );
 }
 
-// Guards against a discovery that fails in any way taking down what is known, or being asked no more.
+// Guards against a discovery that fails in any way taking down what is known, or being asked no
+// more.
 #[test]
 fn whatever_discovery_answers_the_list_stands_and_it_is_asked_again() {
     let line = r#"{"name":"w1","address":"127.0.0.1:1","zone":"z","type":"k","status":"draining"}"#;
     let older = format!(r#"d send + {{"index":0,"snapshot":false,"endpoints":[{line}]}}"#);
     let zone = line.replace(r#""z""#, r#""elsewhere""#).replace("w1", "w9");
-    let unknown = format!("d send + {{\"index\":2,\"snapshot\":false,\"endpoints\":[{zone}]}}\n d close");
+    let unknown =
+        format!("d send + {{\"index\":2,\"snapshot\":false,\"endpoints\":[{zone}]}}\n d close");
     let plays = [
-        ("d send raw HTTP/1.1 503 Service Unavailable\\r\\nContent-Length: 0\\r\\n\\r\\n", "1"),
+        (
+            "d send raw HTTP/1.1 503 Service Unavailable\\r\\nContent-Length: 0\\r\\n\\r\\n",
+            "1",
+        ),
         ("d close", "1"),
         ("d send raw nonsense\\r\\n\\r\\n", "1"),
         ("d send 200\n d close", "1"),
-        ("d send 200\n d send + {\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n d send .", "1"),
+        (
+            "d send 200\n d send + {\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n d send .",
+            "1",
+        ),
         (&format!("d send 200\n {unknown}"), "2"),
     ];
     // Nothing is sent before the list is confirmed.
@@ -358,13 +393,20 @@
     for (answer, index) in plays {
         let again = format!("discovery wait e\n e expect GET /api/targets?stream=1&index={index}");
         let start = "discovery wait d\n d expect GET /api/targets?stream=1&index=1";
-        asked(&["w1", "discovery"], &format!("{start}\n {answer}\n {again}\n {confirmed}\n {served}"));
+        asked(
+            &["w1", "discovery"],
+            &format!("{start}\n {answer}\n {again}\n {confirmed}\n {served}"),
+        );
     }
-    // What it words in no way that can be read, and what is older than its last word, makes for the whole list.
+    // What it words in no way that can be read, and what is older than its last word, makes for the
+    // whole list.
     for answer in ["d send + {\"index\":\"x\"}", "d send + []", &older] {
         let start = "discovery wait d\n d expect GET /api/targets?stream=1&index=1\n d send 200";
         let again = "discovery wait e\n e expect GET /api/targets !stream";
-        asked(&["w1", "discovery"], &format!("{start}\n {answer}\n {again}\n {listed}\n {served}"));
+        asked(
+            &["w1", "discovery"],
+            &format!("{start}\n {answer}\n {again}\n {listed}\n {served}"),
+        );
     }
 }
 
@@ -375,7 +417,10 @@
     for (what, instead) in [
         (zones, r#""zones":["z"],"my-zone":"z","n-instances":0,"#),
         (zones, r#""zones":["z"],"my-zone":"z","n-instances":1,"#),
-        (zones, r#""zones":["z"],"my-zone":"z","n-instances":300,"me":299,"#),
+        (
+            zones,
+            r#""zones":["z"],"my-zone":"z","n-instances":300,"me":299,"#,
+        ),
         (zones, r#""zones":["z"],"#),
         (zones, r#""zones":[],"#),
         (zones, ""),
@@ -394,7 +439,8 @@
     }
 }
 
-// Guards against a next hop that ends its answer and goes on, or ends it twice, being heard for the next job.
+// Guards against a next hop that ends its answer and goes on, or ends it twice, being heard for the
+// next job.
 #[test]
 fn what_a_next_hop_says_after_its_last_word_is_not_heard() {
     let done = r#"a send + {"id":"t1","from":"w1","state":"done","result":"1"}"#;
@@ -428,14 +474,17 @@
     );
     let given_up = Arc::new(AtomicBool::new(false));
     let ended = given_up.clone();
-    let trickle = stage.trickle("d", Duration::from_millis(100), move || ended.load(Ordering::Relaxed));
+    let trickle = stage.trickle("d", Duration::from_millis(100), move || {
+        ended.load(Ordering::Relaxed)
+    });
     stage.go_on("discovery wait e\n e expect GET /api/targets?stream=1&index=1");
     given_up.store(true, Ordering::Relaxed);
     trickle.join().unwrap();
 }
 
-// Guards against a reload that leaves the dispatcher at the old discovery, that drops the old watch before the new
-// one has told the whole list, or that takes the first changes there for all there is.
+// Guards against a reload that leaves the dispatcher at the old discovery, that drops the old watch
+// before the new one has told the whole list, or that takes the first changes there for all there
+// is.
 #[test]
 fn a_reload_moves_the_watch_once_the_whole_list_is_told() {
     let mut stage = asked(
@@ -490,7 +539,8 @@
          a expect POST /booking-import/k t1",
     );
     stage.stop();
-    // Clients that have not heard of it yet still come: the busy worker means a busy answer, not a lost one.
+    // Clients that have not heard of it yet still come: the busy worker means a busy answer, not a
+    // lost one.
     stage.go_on(
         "d send POST /unknown/k t2 5000 x
          d expect 400
@@ -556,7 +606,8 @@
     );
 }
 
-// Guards against a worker that drops out in the middle of an import: it may have run, and never runs again.
+// Guards against a worker that drops out in the middle of an import: it may have run, and never
+// runs again.
 #[test]
 fn a_gearman_worker_that_drops_out_fails_an_import_and_loses_no_push() {
     let drops = |function: &str| {
@@ -635,8 +686,8 @@
     );
 }
 
-// Guards against connections that say nothing, or half a packet, and take up the Gearman front's room; a worker that
-// waits for a job stays.
+// Guards against connections that say nothing, or half a packet, and take up the Gearman front's
+// room; a worker that waits for a job stays.
 #[test]
 fn silent_gearman_peers_are_closed_and_waiting_workers_are_not() {
     Stage::play(
@@ -667,7 +718,10 @@
         "[WORK_STATUS h|x|y]",
         "[JOB_CREATED h]",
     ] {
-        Stage::play(&[], &format!("g1 send {bad}\n g1 expect [ERROR MALFORMED|*]\n g1 expect end"));
+        Stage::play(
+            &[],
+            &format!("g1 send {bad}\n g1 expect [ERROR MALFORMED|*]\n g1 expect end"),
+        );
     }
     // These are well formed: an error, and the connection goes on.
     Stage::play(
@@ -683,8 +737,8 @@
     );
 }
 
-/// A client hands a job in over either protocol, and comes again for as long as it gets busy answers; whether
-/// the job was served.
+/// A client hands a job in over either protocol, and comes again for as long as it gets busy
+/// answers; whether the job was served.
 fn ask(stage: &Stage, gearman: bool, id: &str, class: &str) -> bool {
     let address = if gearman { stage.gearman } else { stage.http };
     let mut client = Peer::new(TcpStream::connect(address).unwrap());
@@ -704,7 +758,10 @@
             let left = if class == "rate-push" { 5000 } else { 6000 };
             client.send(&format!("POST /{class}/k {id}.{again} {left} {id}"));
             let answer = client.message().unwrap();
-            (answer.starts_with("HTTP/1.1 503"), answer.starts_with("HTTP/1.1 200"))
+            (
+                answer.starts_with("HTTP/1.1 503"),
+                answer.starts_with("HTTP/1.1 200"),
+            )
         };
         if !busy {
             return served;
@@ -722,17 +779,23 @@
 }
 
 impl Runs {
-    /// Waits until so many jobs of a round run or have run; not for ever, as one of them may have to come again.
+    /// Waits until so many jobs of a round run or have run; not for ever, as one of them may have
+    /// to come again.
     fn until(&self, round: &str, jobs: usize) {
         let of = |id: &str| id.rsplit('-').nth(2) == Some(round);
-        let fewer = |counts: &mut BTreeMap<String, _>| counts.keys().filter(|id| of(id)).count() < jobs;
+        let fewer =
+            |counts: &mut BTreeMap<String, _>| counts.keys().filter(|id| of(id)).count() < jobs;
         let counts = self.counts.lock().unwrap();
-        drop(self.changed.wait_timeout_while(counts, Duration::from_secs(2), fewer).unwrap());
+        drop(
+            self.changed
+                .wait_timeout_while(counts, Duration::from_secs(2), fewer)
+                .unwrap(),
+        );
     }
 }
 
-/// A job runs: it is counted, and goes on until all of its round run, so that each needs a worker of its own. One that
-/// drops out waits for nobody. Whether it goes through.
+/// A job runs: it is counted, and goes on until all of its round run, so that each needs a worker
+/// of its own. One that drops out waits for nobody. Whether it goes through.
 fn run(runs: &Runs, job: &str, gearman: bool) -> bool {
     let count = {
         let mut all = runs.counts.lock().unwrap();
@@ -748,8 +811,8 @@
     true
 }
 
-// Guards against a new site whose first job, and every later one, is answered busy beside idle workers; and against
-// jobs refused because of a guess where users of Gearman expect them to wait.
+// Guards against a new site whose first job, and every later one, is answered busy beside idle
+// workers; and against jobs refused because of a guess where users of Gearman expect them to wait.
 #[test]
 fn a_thousand_short_jobs_fifty_at_a_time_on_four_workers_are_all_served() {
     const PLAIN: &str = r#"{"zones":["a"],"my-zone":"a","kinds":["m"],"limits":{"most-tries":6},"rules":{},
@@ -784,10 +847,13 @@
     }
 }
 
-/// A Gearman worker that counts what it runs, and drops out in the middle of every job that says so.
+/// A Gearman worker that counts what it runs, and drops out in the middle of every job that says
+/// so.
 fn gearman_worker(address: SocketAddr, runs: Arc<Runs>) {
     loop {
-        let Ok(stream) = TcpStream::connect(address) else { return };
+        let Ok(stream) = TcpStream::connect(address) else {
+            return;
+        };
         let mut worker = Peer::new(stream);
         worker.send("[CAN_DO booking-import]");
         worker.send("[CAN_DO rate-push]");
@@ -816,7 +882,11 @@
         std::thread::spawn(move || {
             let mut worker = Peer::new(stream.unwrap());
             while let Ok(message) = worker.message() {
-                let body = message.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned();
+                let body = message
+                    .split("\r\n\r\n")
+                    .nth(1)
+                    .unwrap_or_default()
+                    .to_owned();
                 if !run(&runs, &body, false) {
                     return;
                 }
@@ -826,8 +896,8 @@
     }
 }
 
-// Guards against a side door: jobs of either protocol run on either kind of worker, get equal service, and no
-// import runs twice, whatever drops out and whoever asks again.
+// Guards against a side door: jobs of either protocol run on either kind of worker, get equal
+// service, and no import runs twice, whatever drops out and whoever asks again.
 #[test]
 fn both_protocols_get_equal_service_and_no_import_runs_twice() {
     let mut stage = Stage::new(&["w1", "w2"]);
@@ -855,8 +925,12 @@
                 let id = format!("{class}-{round}-{gearman}-{drops}");
                 let job = scope.spawn(move || {
                     let answered = ask(stage, gearman, &id, class);
-                    // A Gearman client that asks again under the same unique id gets the same answer.
-                    assert!(!gearman || ask(stage, gearman, &id, class) == answered, "{id}");
+                    // A Gearman client that asks again under the same unique id gets the same
+                    // answer.
+                    assert!(
+                        !gearman || ask(stage, gearman, &id, class) == answered,
+                        "{id}"
+                    );
                     answered
                 });
                 (gearman, n, job)
@@ -866,17 +940,25 @@
             }
         });
     }
-    // A push survives its worker; an import whose worker dropped out fails, 3 of 12, on either front.
+    // A push survives its worker; an import whose worker dropped out fails, 3 of 12, on either
+    // front.
     assert_eq!(served, [[12, 9], [12, 9]]);
     let runs = runs.counts.lock().unwrap();
-    let imports: Vec<_> = runs.iter().filter(|(id, _)| id.starts_with("booking-import")).collect();
+    let imports: Vec<_> = runs
+        .iter()
+        .filter(|(id, _)| id.starts_with("booking-import"))
+        .collect();
     let twice: Vec<_> = imports.iter().filter(|(_, n)| n[0] + n[1] > 1).collect();
     assert!(twice.is_empty(), "imports that ran twice: {twice:?}");
     assert_eq!(imports.len(), 24);
     // Jobs of either protocol ran on either kind of worker.
     for client in ["-true-", "-false-"] {
         for worker in [0, 1] {
-            assert!(runs.iter().any(|(id, n)| id.contains(client) && n[worker] > 0), "{client} {worker}");
+            assert!(
+                runs.iter()
+                    .any(|(id, n)| id.contains(client) && n[worker] > 0),
+                "{client} {worker}"
+            );
         }
     }
 }
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -1,8 +1,11 @@
 //! The settings of two kinds of deployment, as they come out of the configuration's text.
 
-use pumiceway_decisions::api::{Effect, Group, ReportVia, Settings, ZoneId};
-use pumiceway_decisions::settings::{Discovery, QueueOrder, Weights};
+use pumiceway_decisions::api::{
+    DeduplicationScope, Idempotency, LoadReportSource, Settings, ZoneId,
+};
+use pumiceway_decisions::settings::{DiscoveryMode, QueueOrder, WeightMeaning};
 use pumiceway_net::config::{Config, ConfigError};
+use std::time::Duration;
 
 /// The list is asked for, reports come with probes, nobody shares, queues are first in first out.
 const ASKED: &str = r#"{"clients":{"marks-retry":false},"discovery":"subscribe","domain-type":"jobs",
@@ -22,8 +25,8 @@
     "drain-grace-us":500000,"fall-us":3000000,"tip-multiple":3.0},
   "tenants":[],"tier":0,"weights":"none","zones":["north","south"]}"#;
 
-/// Lists are pushed, reports come with answers, tenants have shares, weights live, queues go by priority, and one
-/// class carries a key that the workers of a zone know.
+/// Lists are pushed, reports come with answers, tenants have shares, weights live, queues go by
+/// priority, and one class carries a key that the workers of a zone know.
 const PUSHED: &str = r#"{"discovery":"automatic",
   "family-info":{"class-kind":[-1,-1,-1],"class-priority":[0,0,1],"class-stretch":[2.5,2.0,2.0],"progress-us":0,
     "queue-order":"priority","tells-start":true},
@@ -41,100 +44,225 @@
   "weights":"live","zones":["a","b","c"]}"#;
 
 fn read(settings: &str) -> Result<Config, ConfigError> {
-    let text = format!(r#"{{"listen":"127.0.0.1:0","peers":["10.0.0.1:7"],"settings":{settings}}}"#);
+    let text =
+        format!(r#"{{"listen":"127.0.0.1:0","peers":["10.0.0.1:7"],"settings":{settings}}}"#);
     Config::from_text(&text, "config", |_| None)
 }
 
 /// All that differs between the two, each in a line.
-fn told(s: &Settings) -> Vec<(&'static str, String)> {
-    let each = |f: &dyn Fn(usize) -> String| (0..s.classes.len()).map(f).collect::<Vec<_>>().join(" ");
+fn described(s: &Settings) -> Vec<(&'static str, String)> {
+    let us = |span: Duration| span.as_micros();
+    let each =
+        |f: &dyn Fn(usize) -> String| (0..s.classes.len()).map(f).collect::<Vec<_>>().join(" ");
     vec![
-        ("list by asking", format!("{} within {}", s.list_by_asking, s.ask_within)),
-        ("reports", format!("{:?}", s.report_via)),
-        ("instance", format!("{} of {}", s.me, s.instances)),
-        ("zones", format!("{} home {:?}", s.zones, s.my_zone.map(|z| z.0))),
-        ("kinds", s.kinds.to_string()),
-        ("tenants", format!("{:?}", s.tenants.iter().map(|t| t.quota).collect::<Vec<_>>())),
-        ("over share", s.over_share_worth.to_string()),
-        ("priority", each(&|n| s.classes[n].priority.to_string())),
-        ("stretch", each(&|n| s.classes[n].stretch.to_string())),
-        ("worth", each(&|n| s.classes[n].worth.to_string())),
-        ("deadline", each(&|n| s.classes[n].deadline.to_string())),
+        (
+            "polled",
+            format!("{} within {}", s.polls_discovery, us(s.max_poll_interval)),
+        ),
+        ("reports", format!("{:?}", s.load_reports)),
+        (
+            "instance",
+            format!("{} of {}", s.instance_index, s.instance_count),
+        ),
+        (
+            "zones",
+            format!("{} home {:?}", s.zone_count, s.home_zone.map(|z| z.0)),
+        ),
+        ("kinds", s.kind_count.to_string()),
+        (
+            "tenants",
+            format!(
+                "{:?}",
+                s.tenants
+                    .iter()
+                    .map(|t| t.quota_per_second)
+                    .collect::<Vec<_>>()
+            ),
+        ),
+        ("over quota", s.over_quota_weight.to_string()),
+        (
+            "priority",
+            each(&|n| s.classes[n].queue_priority.to_string()),
+        ),
+        (
+            "stretch",
+            each(&|n| s.classes[n].objective_stretch.to_string()),
+        ),
+        (
+            "weight",
+            each(&|n| s.classes[n].priority_weight.to_string()),
+        ),
+        ("deadline", each(&|n| us(s.classes[n].deadline).to_string())),
         ("attempts", s.max_attempts.to_string()),
-        ("idle", s.connection_idle.to_string()),
-        ("progress", format!("{} {}", s.tells_start, s.progress_every)),
-        ("cold", format!("{} {} {} {}", s.cold_from, s.cold_for, s.tip_multiple, s.fall_window)),
-        ("prices", format!("{} {}", s.prices.cross_zone, s.prices.probe)),
-        ("held", s.held_most.to_string()),
+        ("idle", us(s.connection_idle_timeout).to_string()),
+        (
+            "progress",
+            format!("{} {}", s.reports_start, us(s.progress_interval)),
+        ),
+        (
+            "slow start",
+            format!(
+                "{} {} {} {}",
+                s.slow_start_share,
+                us(s.slow_start_duration),
+                s.overload_multiple,
+                us(s.overload_window)
+            ),
+        ),
+        (
+            "prices",
+            format!("{} {}", s.prices.cross_zone, s.prices.health_check),
+        ),
+        ("queued", s.max_queued.to_string()),
     ]
 }
 
 #[test]
 fn both_kinds_of_settings_are_read_in_every_respect() {
     let expected = [
-        ("list by asking", "true within 9000000", "false within 0"),
-        ("reports", "Probe", "Answers"),
+        ("polled", "true within 9000000", "false within 0"),
+        ("reports", "HealthChecks", "Responses"),
         ("instance", "1 of 2", "0 of 3"),
         ("zones", "2 home Some(1)", "3 home Some(1)"),
         ("kinds", "1", "2"),
         ("tenants", "[]", "[30.5, 20.0]"),
-        ("over share", "0.2", "0.1"),
+        ("over quota", "0.2", "0.1"),
         // Priorities count where workers serve by them.
         ("priority", "0 0", "0 0 1"),
         ("stretch", "2.5 2", "2.5 2 2"),
-        ("worth", "2 3", "5 5 15"),
+        ("weight", "2 3", "5 5 15"),
         ("deadline", "10000000 20000000", "5000000 15000000 5000000"),
         ("attempts", "6", "3"),
         ("idle", "15000000", "10000000"),
         ("progress", "true 2000000", "true 0"),
-        ("cold", "0.13 23000000 3 3000000", "0.33 7900000 2.5 3000000"),
+        (
+            "slow start",
+            "0.13 23000000 3 3000000",
+            "0.33 7900000 2.5 3000000",
+        ),
         ("prices", "0.03 0.0015", "0.014 0.0018"),
-        ("held", "20000", "0"),
+        ("queued", "20000", "0"),
     ];
     let (asked, pushed) = (read(ASKED).unwrap(), read(PUSHED).unwrap());
     for (n, config) in [&asked, &pushed].into_iter().enumerate() {
-        for ((what, got), (name, first, second)) in told(&config.settings).iter().zip(expected) {
+        for ((what, got), (name, first, second)) in described(&config.settings).iter().zip(expected)
+        {
             assert_eq!((*what, got.as_str()), (name, [first, second][n]));
         }
         let s = &config.settings;
-        assert!(s.probes && s.cancel && s.second_copies && s.retry_after, "{s:?}");
-        assert_eq!((s.connect_timeout, s.max_retry_after), (250_000, 2_000_000));
-        assert_eq!((s.classes[0].effect, s.classes[1].effect), (Effect::Safe, Effect::Unsafe));
-        assert!(s.classes.iter().all(|c| c.zones.is_none() && c.kinds.is_none()), "{s:?}");
+        let us = |span: Duration| span.as_micros();
+        assert!(
+            s.health_checks && s.cancellation && s.hedging && s.retry_after,
+            "{s:?}"
+        );
+        assert_eq!(
+            (us(s.connect_timeout), us(s.max_retry_after)),
+            (250_000, 2_000_000)
+        );
+        assert_eq!(
+            (s.classes[0].idempotency, s.classes[1].idempotency),
+            (Idempotency::Idempotent, Idempotency::NonIdempotent)
+        );
+        assert!(
+            s.classes
+                .iter()
+                .all(|c| c.allowed_zones.is_none() && c.allowed_kinds.is_none()),
+            "{s:?}"
+        );
     }
-    assert_eq!(pushed.settings.classes[2].effect, Effect::Keyed { group: Group::Zone, window: 7_500_000 });
-    assert_eq!(asked.settings.report_via, ReportVia::Probe);
-    let (asked, pushed) = (asked.conf, pushed.conf);
-    assert_eq!((asked.discovery, pushed.discovery), (Discovery::Subscribe, Discovery::Automatic));
-    assert_eq!((asked.weights, pushed.weights), (Weights::None, Weights::Live));
-    let orders = (asked.family_info.queue_order, pushed.family_info.queue_order);
+    assert_eq!(
+        pushed.settings.classes[2].idempotency,
+        Idempotency::Keyed {
+            scope: DeduplicationScope::Zone,
+            window: Duration::from_millis(7_500)
+        }
+    );
+    assert_eq!(asked.settings.load_reports, LoadReportSource::HealthChecks);
+    let (asked, pushed) = (asked.deployment, pushed.deployment);
+    assert_eq!(
+        (asked.discovery, pushed.discovery),
+        (DiscoveryMode::Polled, DiscoveryMode::Pushed)
+    );
+    assert_eq!(
+        (asked.weight_meaning, pushed.weight_meaning),
+        (WeightMeaning::None, WeightMeaning::Live)
+    );
+    let orders = (asked.service.queue_order, pushed.service.queue_order);
     assert_eq!(orders, (QueueOrder::Fifo, QueueOrder::Priority));
-    assert_eq!((pushed.zone(Some("c")), pushed.zone(Some("d"))), (Some(ZoneId(2)), None));
-    assert_eq!((pushed.tenant("t2").map(|t| t.0), pushed.tenant("t3")), (Some(1), None));
-    assert_eq!((asked.rules.drain_grace_us, pushed.rules.drain_grace_us), (500_000, 500_000));
+    assert_eq!(
+        (pushed.zone(Some("c")), pushed.zone(Some("d"))),
+        (Some(ZoneId(2)), None)
+    );
+    assert_eq!(
+        (pushed.tenant("t2").map(|t| t.0), pushed.tenant("t3")),
+        (Some(1), None)
+    );
+    assert_eq!(
+        (asked.rules.drain_grace_us, pushed.rules.drain_grace_us),
+        (500_000, 500_000)
+    );
 }
 
 // Guards against a wrong value whose message leaves its key to be guessed.
 #[test]
 fn a_wrong_value_names_its_key() {
     let wrong = [
-        (r#""discovery":"automatic""#, r#""discovery":"pull""#, "settings.discovery"),
-        (r#""via":"answers""#, r#""via":"mail""#, "settings.report.via"),
+        (
+            r#""discovery":"automatic""#,
+            r#""discovery":"pull""#,
+            "settings.discovery",
+        ),
+        (
+            r#""via":"answers""#,
+            r#""via":"mail""#,
+            "settings.report.via",
+        ),
         (r#""weights":"live""#, r#""weights":1"#, "settings.weights"),
-        (r#""queue-order":"priority""#, r#""queue-order":"lifo""#, "settings.family-info.queue-order"),
-        (r#""semantics":"idempotency_key""#, r#""semantics":"keyed""#, "settings.lanes[2].semantics"),
-        (r#""dedup-scope":"zone""#, r#""dedup-scope":"rack""#, "settings.lanes[2].dedup-scope"),
-        (r#""quota-per-s":20.0"#, r#""quota-per-s":"20""#, "settings.tenants[1].quota-per-s"),
-        (r#""most-tries":3"#, r#""most-tries":-3"#, "settings.limits.most-tries"),
-        (r#""most-tries":3"#, r#""most-tries":0"#, "settings.limits.most-tries"),
+        (
+            r#""queue-order":"priority""#,
+            r#""queue-order":"lifo""#,
+            "settings.family-info.queue-order",
+        ),
+        (
+            r#""semantics":"idempotency_key""#,
+            r#""semantics":"keyed""#,
+            "settings.lanes[2].semantics",
+        ),
+        (
+            r#""dedup-scope":"zone""#,
+            r#""dedup-scope":"rack""#,
+            "settings.lanes[2].dedup-scope",
+        ),
+        (
+            r#""quota-per-s":20.0"#,
+            r#""quota-per-s":"20""#,
+            "settings.tenants[1].quota-per-s",
+        ),
+        (
+            r#""most-tries":3"#,
+            r#""most-tries":-3"#,
+            "settings.limits.most-tries",
+        ),
+        (
+            r#""most-tries":3"#,
+            r#""most-tries":0"#,
+            "settings.limits.most-tries",
+        ),
         (r#""my-zone":"b""#, r#""my-zone":"d""#, "settings.my-zone"),
         (r#""me":0"#, r#""me":3"#, "settings.me"),
-        (r#""drain-grace-us":500000"#, r#""drain-grace-us":0.5"#, "settings.rules.drain-grace-us"),
+        (
+            r#""drain-grace-us":500000"#,
+            r#""drain-grace-us":0.5"#,
+            "settings.rules.drain-grace-us",
+        ),
     ];
     for (good, bad, key) in wrong {
         assert_eq!(PUSHED.matches(good).count(), 1, "{good}");
         let fault = read(&PUSHED.replace(good, bad)).unwrap_err();
-        assert!(matches!(&fault, ConfigError::Key { key: named, .. } if named == key), "{bad}: {fault}");
+        assert!(
+            matches!(&fault, ConfigError::Key { key: named, .. } if named == key),
+            "{bad}: {fault}"
+        );
     }
     let lanes = PUSHED.find(r#""lanes""#).unwrap()..PUSHED.find(r#""limits""#).unwrap();
     let none = PUSHED.replace(&PUSHED[lanes], r#""lanes":[],"#);
--- a/crates/pumiceway/examples/toy.rs
+++ b/crates/pumiceway/examples/toy.rs
@@ -31,10 +31,13 @@
 fn receive(stream: &mut TcpStream) -> Result<(u32, Vec<String>), Error> {
     let mut head = [0; 12];
     stream.read_exact(&mut head)?;
-    let number = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let number =
+        |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let mut body = vec![0; number(8) as usize];
     stream.read_exact(&mut body)?;
-    let parts = body.split(|&b| b == 0).map(|part| String::from_utf8_lossy(part).into_owned());
+    let parts = body
+        .split(|&b| b == 0)
+        .map(|part| String::from_utf8_lossy(part).into_owned());
     Ok((number(4), parts.collect()))
 }
 
@@ -65,7 +68,9 @@
             WORK_COMPLETE | WORK_FAIL => {
                 println!(
                     "{}",
-                    parts.get(1).map_or("not served".to_owned(), |made| format!("served: {made}"))
+                    parts
+                        .get(1)
+                        .map_or("not served".to_owned(), |made| format!("served: {made}"))
                 );
                 return Ok(());
             }
@@ -80,7 +85,11 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
         ["worker", function] => worker(&mut TcpStream::connect(address)?, function),
-        ["submit", function, workload] => submit(&mut TcpStream::connect(address)?, function, workload),
-        _ => Err(Error::other("toy worker FUNCTION, or toy submit FUNCTION WORKLOAD")),
+        ["submit", function, workload] => {
+            submit(&mut TcpStream::connect(address)?, function, workload)
+        }
+        _ => Err(Error::other(
+            "toy worker FUNCTION, or toy submit FUNCTION WORKLOAD",
+        )),
     }
 }
--- a/crates/pumiceway/src/console.rs
+++ b/crates/pumiceway/src/console.rs
@@ -1,4 +1,5 @@
-//! The terminal console: looks at a running dispatcher through the text commands of its Gearman front.
+//! The terminal console: looks at a running dispatcher through the text commands of its Gearman
+//! front.
 
 use std::io::{self, BufRead, BufReader, IsTerminal, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -31,13 +32,17 @@
     let mut words = text.split_whitespace();
     Some(match (words.next(), words.next(), words.next()) {
         (None, ..) => Command::Nothing,
-        (Some("status"), None, _) => Command::Table("status", &["function", "jobs", "running", "workers"]),
+        (Some("status"), None, _) => {
+            Command::Table("status", &["function", "jobs", "running", "workers"])
+        }
         (Some("workers"), None, _) => Command::Table("workers", &["session"]),
         (Some("routes"), None, _) => Command::Table("routes", &["next hop", "state", "zone"]),
         (Some("kept"), None, _) => Command::Line("kept"),
         (Some("version"), None, _) => Command::Line("version"),
         (Some("watch"), None, _) => Command::Watch(2),
-        (Some("watch"), Some(s), None) => Command::Watch(s.parse().ok().filter(|s| (1..=3600).contains(s))?),
+        (Some("watch"), Some(s), None) => {
+            Command::Watch(s.parse().ok().filter(|s| (1..=3600).contains(s))?)
+        }
         (Some("help" | "?"), None, _) => Command::Help,
         (Some("quit" | "exit"), None, _) => Command::Quit,
         _ => return None,
@@ -55,7 +60,10 @@
     let typed = io::stdin().is_terminal();
     let mut input = io::stdin().lock();
     if typed {
-        let _ = writeln!(out, "pumiceway console at {address}; help lists the commands");
+        let _ = writeln!(
+            out,
+            "pumiceway console at {address}; help lists the commands"
+        );
     }
     let mut text = String::new();
     loop {
@@ -94,7 +102,10 @@
     }
 
     fn say(&mut self, word: &str) -> Result<(), String> {
-        self.0.get_mut().write_all(format!("{word}\n").as_bytes()).map_err(|e| format!("not sent: {e}"))
+        self.0
+            .get_mut()
+            .write_all(format!("{word}\n").as_bytes())
+            .map_err(|e| format!("not sent: {e}"))
     }
 
     /// Whether the console goes on after it.
@@ -139,10 +150,20 @@
 /// Rows in columns as wide as their widest cell.
 fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(|t| t.chars().count()).max().unwrap_or(0);
+    let width = |c: usize| {
+        rows.iter()
+            .filter_map(|r| r.get(c))
+            .map(|t| t.chars().count())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..columns).map(width).collect();
     let line = |row: &Vec<String>| {
-        let cells: Vec<String> = row.iter().zip(&widths).map(|(t, &w)| format!("{t:w$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(t, &w)| format!("{t:w$}"))
+            .collect();
         format!("{}\n", cells.join("  ").trim_end())
     };
     rows.iter().map(line).collect()
@@ -164,7 +185,10 @@
 
     #[test]
     fn a_table_lines_up() {
-        let rows = [vec!["a".to_owned(), "bb".to_owned()], vec!["ccc".to_owned(), "d".to_owned()]];
+        let rows = [
+            vec!["a".to_owned(), "bb".to_owned()],
+            vec!["ccc".to_owned(), "d".to_owned()],
+        ];
         assert_eq!(table(&rows), "a    bb\nccc  d\n");
     }
 }
--- a/crates/pumiceway/src/main.rs
+++ b/crates/pumiceway/src/main.rs
@@ -7,7 +7,7 @@
 use argh::FromArgs;
 use pumiceway_logging::{Files, Flood, Format, Level, Log, Options, Sink};
 use pumiceway_net::config::{Config, ConfigError, GearmanConfig, Reload, ZooKeeperConfig};
-use pumiceway_net::shell::Dispatcher;
+use pumiceway_net::event_loop::Dispatcher;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -47,8 +47,8 @@
     /// file that switches on a route set in ZooKeeper
     #[argh(option)]
     zookeeper: Option<PathBuf>,
-    /// which lines are logged: off, error, warn, info (the default), debug or trace; also for a part, as in
-    /// info,pumiceway_net::hop=debug
+    /// which lines are logged: off, error, warn, info (the default), debug or trace; also for a
+    /// part, as in info,pumiceway_net::hop=debug
     #[argh(option)]
     log_level: Option<Level>,
     /// how they look: text (the default) or json
@@ -67,12 +67,24 @@
 
 impl Serve {
     fn log(&self) -> Options {
-        let (bytes, older) = (self.log_megabytes.clamp(1, 1_024) << 20, self.log_older.min(100));
+        let (bytes, older) = (
+            self.log_megabytes.clamp(1, 1_024) << 20,
+            self.log_older.min(100),
+        );
         let sink = match &self.log_file {
-            Some(path) => Sink::Files(Files { path: path.clone(), bytes, older }),
+            Some(path) => Sink::Files(Files {
+                path: path.clone(),
+                bytes,
+                older,
+            }),
             None => Sink::Stderr,
         };
-        Options { format: self.log_format, sink, level: self.log_level.clone(), flood: Flood::default() }
+        Options {
+            format: self.log_format,
+            sink,
+            level: self.log_level.clone(),
+            flood: Flood::default(),
+        }
     }
 }
 
@@ -120,9 +132,8 @@
                 serve(config, reads_again)
             })
         }
-        Command::CheckConfig(asked) => {
-            config(site!(asked), asked.gearman, asked.zookeeper).map(|c| println!("{}: good", c.name))
-        }
+        Command::CheckConfig(asked) => config(site!(asked), asked.gearman, asked.zookeeper)
+            .map(|c| println!("{}: good", c.name)),
         #[cfg(feature = "appliance")]
         Command::Init(init) => init.run(),
         Command::Console(Console { address, command }) => console::run(address, command.as_deref()),
@@ -159,7 +170,10 @@
 
 #[cfg(not(feature = "appliance"))]
 fn read_site(file: &std::path::Path) -> Result<Config, String> {
-    Err(format!("{}: this build knows no site files", file.display()))
+    Err(format!(
+        "{}: this build knows no site files",
+        file.display()
+    ))
 }
 
 fn config(
@@ -169,42 +183,59 @@
 ) -> Result<Config, String> {
     if let Some(site) = site {
         if gearman.is_some() {
-            return Err("--gearman: with a site file, its listen.gearman switches that front on".to_owned());
+            return Err(
+                "--gearman: with a site file, its listen.gearman switches that front on".to_owned(),
+            );
         }
         let mut config = read_site(&site)?;
-        let zookeeper = zookeeper.map(|f| ZooKeeperConfig::from_file(&f)).transpose();
+        let zookeeper = zookeeper
+            .map(|f| ZooKeeperConfig::from_file(&f))
+            .transpose();
         config.zookeeper = zookeeper.map_err(|e| e.to_string())?;
         return Ok(config);
     }
     let read = || -> Result<Config, ConfigError> {
         let mut config = Config::from_environment(|key| std::env::var(key).ok())?;
         let inbound = config.sockets.inbound;
-        config.gearman = gearman.map(|f| GearmanConfig::from_file(&f, &config.conf, inbound)).transpose()?;
-        config.zookeeper = zookeeper.map(|f| ZooKeeperConfig::from_file(&f)).transpose()?;
+        config.gearman = gearman
+            .map(|f| GearmanConfig::from_file(&f, &config.deployment, inbound))
+            .transpose()?;
+        config.zookeeper = zookeeper
+            .map(|f| ZooKeeperConfig::from_file(&f))
+            .transpose()?;
         Ok(config)
     };
     read().map_err(|e| e.to_string())
 }
 
 fn serve(config: Config, reads_again: bool) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
     let run = async {
-        let (mut terminate, mut interrupt) =
-            (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+        let (mut terminate, mut interrupt) = (
+            signal(SignalKind::terminate())?,
+            signal(SignalKind::interrupt())?,
+        );
         let mut hangup = signal(SignalKind::hangup())?;
         let (tell, reloads) = tokio::sync::mpsc::unbounded_channel();
         let fixed = config.fixed.clone();
         tokio::spawn(async move {
             while hangup.recv().await.is_some() {
                 if !reads_again {
-                    tracing::warn!("a site file is read at the start only: what has changed takes a restart");
+                    tracing::warn!(
+                        "a site file is read at the start only: what has changed takes a restart"
+                    );
                     continue;
                 }
-                // Prevents: a file that is wrong or half written takes a dispatcher down that serves.
+                // Prevents: a file that is wrong or half written takes a dispatcher down that
+                // serves.
                 match Reload::read(&fixed, |key| std::env::var(key).ok()) {
                     Ok(reload) => drop(tell.send(reload)),
-                    Err(e) => tracing::error!(why = %e, "configuration not taken, the old one stays"),
+                    Err(e) => {
+                        tracing::error!(why = %e, "configuration not taken, the old one stays")
+                    }
                 }
             }
         });
@@ -216,5 +247,7 @@
         };
         Dispatcher::bind(config).await?.run(stop, reloads).await
     };
-    runtime.block_on(run).map_err(|e: std::io::Error| e.to_string())
+    runtime
+        .block_on(run)
+        .map_err(|e: std::io::Error| e.to_string())
 }
--- a/crates/pumiceway/tests/common/mod.rs
+++ b/crates/pumiceway/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! What tests of the program as a process share: the process, its files, a worker, calls to discovery.
+//! What tests of the program as a process share: the process, its files, a worker, calls to
+//! discovery.
 #![allow(dead_code)] // each test file uses its own part of it
 
-use pumiceway_rig::processes::{Lists, field, serve};
-use pumiceway_rig::{Peer, serve_each};
+use pumiceway_test_support::processes::{Lists, field, serve};
+use pumiceway_test_support::{Peer, serve_each};
 use std::ffi::OsStr;
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -22,7 +23,9 @@
 
 /// The program under test; `FAULT_PROGRAM` names another build of it.
 pub fn program() -> PathBuf {
-    std::env::var_os("FAULT_PROGRAM").unwrap_or(env!("CARGO_BIN_EXE_pumiceway").into()).into()
+    std::env::var_os("FAULT_PROGRAM")
+        .unwrap_or(env!("CARGO_BIN_EXE_pumiceway").into())
+        .into()
 }
 
 impl Process {
@@ -32,7 +35,11 @@
         let (child, listens) = serve(&program(), config, &more);
         let listens = listens.unwrap();
         let [http, gearman] = ["address", "gearman"].map(|name| field(&listens, name).unwrap());
-        Process { child, http, gearman }
+        Process {
+            child,
+            http,
+            gearman,
+        }
     }
 
     /// Stops it where it is, and waits until it stands still.
@@ -52,7 +59,9 @@
     }
 
     fn signal(&self, name: &str) {
-        let status = std::process::Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        let status = std::process::Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status();
         assert!(status.unwrap().success());
     }
 
@@ -127,7 +136,10 @@
             r#"{{"listen":"127.0.0.1:0","discovery":"{address}","known":{known},"settings":{settings}}}"#
         );
         let gearman = "listen = \"127.0.0.1:0\"\n".to_owned();
-        Files { config: file("json", config), gearman: file("toml", gearman) }
+        Files {
+            config: file("json", config),
+            gearman: file("toml", gearman),
+        }
     }
 }
 
--- a/crates/pumiceway/tests/faults.rs
+++ b/crates/pumiceway/tests/faults.rs
@@ -1,13 +1,13 @@
-//! Random, overlapping faults over real dispatcher processes, by seed. `FAULT_SEEDS` names further ones, as in `11..31`, and
-//! `FAULT_PROGRAM` another build of the program.
+//! Random, overlapping faults over real dispatcher processes, by seed. `FAULT_SEEDS` names further
+//! ones, as in `11..31`, and `FAULT_PROGRAM` another build of the program.
 
 mod common;
 
-use pumiceway_rig::processes::discovery::WatchLoss;
-use pumiceway_rig::processes::faults::{Fault, Schedule};
-use pumiceway_rig::processes::judge::{Verdict, judge};
-use pumiceway_rig::processes::service::Failure;
-use pumiceway_rig::processes::{Conditions, World, clients, faults};
+use pumiceway_test_support::processes::discovery::WatchLoss;
+use pumiceway_test_support::processes::faults::{Fault, Schedule};
+use pumiceway_test_support::processes::judge::{Verdict, judge};
+use pumiceway_test_support::processes::service::Failure;
+use pumiceway_test_support::processes::{Conditions, World, clients, faults};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -19,8 +19,18 @@
     over: Duration,
 }
 
-const SHORT: Size = Size { dispatchers: 6, workers: 6, clients: 12, over: Duration::from_secs(14) };
-const FULL: Size = Size { dispatchers: 30, workers: 12, clients: 40, over: Duration::from_secs(24) };
+const SHORT: Size = Size {
+    dispatchers: 6,
+    workers: 6,
+    clients: 12,
+    over: Duration::from_secs(14),
+};
+const FULL: Size = Size {
+    dispatchers: 30,
+    workers: 12,
+    clients: 40,
+    over: Duration::from_secs(24),
+};
 
 /// A new process reports that it is ready within this time.
 const READY: Duration = Duration::from_secs(10);
@@ -33,12 +43,20 @@
 
 fn play_schedule(seed: u64, size: &Size, schedule: &Schedule) -> Verdict {
     let conditions = Conditions::draw(seed);
-    let world = World::start(&common::program(), size.dispatchers, size.workers, conditions);
+    let world = World::start(
+        &common::program(),
+        size.dispatchers,
+        size.workers,
+        conditions,
+    );
     let clients = clients::start(&world, size.clients, seed);
     faults::play(&world, schedule);
     std::thread::sleep((world.start + size.over).saturating_duration_since(Instant::now()));
     world.over.store(true, Ordering::Relaxed);
-    let sent: Vec<_> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+    let sent: Vec<_> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap())
+        .collect();
     for dispatcher in &world.dispatchers {
         if dispatcher.crashed() {
             world.breaks(format!("dispatcher {} has crashed", dispatcher.number));
@@ -47,7 +65,10 @@
         }
     }
     let verdict = judge(&world, &sent);
-    println!("seed {seed}, {conditions:?}: {} of {} served", verdict.served, verdict.requests);
+    println!(
+        "seed {seed}, {conditions:?}: {} of {} served",
+        verdict.served, verdict.requests
+    );
     if !verdict.broken.is_empty() {
         println!("seed {seed} broke {:#?} on {schedule:?}", verdict.broken);
     }
@@ -59,8 +80,17 @@
 }
 
 fn check(seed: u64, verdict: &Verdict) {
-    assert!(verdict.broken.is_empty(), "seed {seed}: {:#?}", verdict.broken);
-    assert!(verdict.served * 4 > verdict.requests, "seed {seed}: {} of {}", verdict.served, verdict.requests);
+    assert!(
+        verdict.broken.is_empty(),
+        "seed {seed}: {:#?}",
+        verdict.broken
+    );
+    assert!(
+        verdict.served * 4 > verdict.requests,
+        "seed {seed}: {} of {}",
+        verdict.served,
+        verdict.requests
+    );
 }
 
 #[test]
@@ -73,33 +103,61 @@
     }
 }
 
-// Incident: the watches of all dispatchers are lost, workers leave right after, and calls for new watches fail, as discovery is
-// one service for all and serves fewer than call. It stays so for longer than a list may be used.
+// Incident: the watches of all dispatchers are lost, workers leave right after, and calls for new
+// watches fail, as discovery is one service for all and serves fewer than call. It stays so for
+// longer than a list may be used.
 #[test]
 fn the_invariants_hold_where_a_crowded_discovery_hides_that_workers_leave() {
     let [second, half] = [1_000, 500].map(Duration::from_millis);
     let losses = [WatchLoss::Silent, WatchLoss::Reset];
-    let plays =
-        [(Failure::Unavailable, 10), (Failure::Reset, 12), (Failure::Reset, 13)].map(|(failure, seed)| {
-            let call = second * 3;
-            let mut schedule: Schedule =
-                losses.map(|loss| (second * 2, Fault::WatchesLost { one_in: 1, loss })).to_vec();
-            schedule.push((second * 2, Fault::DiscoveryCrowded { call, failure, time: second * 11 }));
-            schedule.push((second * 2 + half, Fault::Leave { one_in: 2, gone: true, back: second * 11 }));
-            std::thread::spawn(move || check(seed, &play_schedule(seed, &SHORT, &schedule)))
-        });
+    let plays = [
+        (Failure::Unavailable, 10),
+        (Failure::Reset, 12),
+        (Failure::Reset, 13),
+    ]
+    .map(|(failure, seed)| {
+        let call = second * 3;
+        let mut schedule: Schedule = losses
+            .map(|loss| (second * 2, Fault::WatchesLost { one_in: 1, loss }))
+            .to_vec();
+        schedule.push((
+            second * 2,
+            Fault::DiscoveryCrowded {
+                call,
+                failure,
+                time: second * 11,
+            },
+        ));
+        schedule.push((
+            second * 2 + half,
+            Fault::Leave {
+                one_in: 2,
+                gone: true,
+                back: second * 11,
+            },
+        ));
+        std::thread::spawn(move || check(seed, &play_schedule(seed, &SHORT, &schedule)))
+    });
     for play in plays {
         play.join().unwrap();
     }
 }
 
-// Incident: workers leave while dispatchers are down, and discovery is slow to answer when these come back.
+// Incident: workers leave while dispatchers are down, and discovery is slow to answer when these
+// come back.
 #[test]
 fn the_invariants_hold_where_workers_leave_while_dispatchers_are_down() {
     let [second, down] = [1, 8].map(Duration::from_secs);
     let schedule = vec![
         (second, Fault::Kill { one_in: 2, down }),
-        (second * 3 / 2, Fault::Leave { one_in: 2, gone: false, back: Duration::from_secs(11) }),
+        (
+            second * 3 / 2,
+            Fault::Leave {
+                one_in: 2,
+                gone: false,
+                back: Duration::from_secs(11),
+            },
+        ),
         (
             second * 7,
             Fault::DiscoveryCrowded {
@@ -120,9 +178,14 @@
 
 #[test]
 fn the_invariants_hold_on_further_seeds() {
-    let Ok(range) = std::env::var("FAULT_SEEDS") else { return };
+    let Ok(range) = std::env::var("FAULT_SEEDS") else {
+        return;
+    };
     let (from, to) = range.split_once("..").expect("FAULT_SEEDS is FROM..TO");
-    let verdicts = (from.parse().unwrap()..to.parse::<u64>().unwrap()).map(|seed| (seed, play(seed, &FULL)));
-    let broken: Vec<_> = verdicts.filter(|(_, verdict)| !verdict.broken.is_empty()).collect();
+    let verdicts =
+        (from.parse().unwrap()..to.parse::<u64>().unwrap()).map(|seed| (seed, play(seed, &FULL)));
+    let broken: Vec<_> = verdicts
+        .filter(|(_, verdict)| !verdict.broken.is_empty())
+        .collect();
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/crates/pumiceway/tests/site.rs
+++ b/crates/pumiceway/tests/site.rs
@@ -1,7 +1,7 @@
 //! A site as a newcomer sets it up: `init`, `check-config`, `serve --site`, and a first job.
 #![cfg(feature = "appliance")]
 
-use pumiceway_rig::Peer;
+use pumiceway_test_support::Peer;
 use std::io::{BufRead, BufReader};
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -14,14 +14,22 @@
 
 impl Site {
     fn new(name: &str) -> Site {
-        let folder = std::env::temp_dir().join(format!("pumiceway-site-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("pumiceway-site-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Site { folder, running: None }
+        Site {
+            folder,
+            running: None,
+        }
     }
 
     fn command(&self, words: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pumiceway"));
-        command.args(words.split(' ')).current_dir(&self.folder).env_clear().stdin(Stdio::null());
+        command
+            .args(words.split(' '))
+            .current_dir(&self.folder)
+            .env_clear()
+            .stdin(Stdio::null());
         command
     }
 
@@ -34,12 +42,20 @@
 
     /// Starts serving; where the Gearman front listens.
     fn serve(&mut self) -> String {
-        let mut child =
-            self.command("serve --site site.toml --log-format json").stderr(Stdio::piped()).spawn().unwrap();
+        let mut child = self
+            .command("serve --site site.toml --log-format json")
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         let mut line = String::new();
-        BufReader::new(child.stderr.take().unwrap()).read_line(&mut line).unwrap();
+        BufReader::new(child.stderr.take().unwrap())
+            .read_line(&mut line)
+            .unwrap();
         self.running = Some(child);
-        let at = line.split("\"gearman\":\"").nth(1).unwrap_or_else(|| panic!("{line}"));
+        let at = line
+            .split("\"gearman\":\"")
+            .nth(1)
+            .unwrap_or_else(|| panic!("{line}"));
         at.split('"').next().unwrap().to_owned()
     }
 }
@@ -54,14 +70,21 @@
     }
 }
 
-// Guards against a site that is set up from the program's own words alone and whose first job does not run.
+// Guards against a site that is set up from the program's own words alone and whose first job does
+// not run.
 #[test]
 fn a_newcomer_sets_a_site_up_and_the_first_job_of_each_class_runs() {
     let mut site = Site::new("first");
     let (good, said) =
         site.run("init --yes --http 127.0.0.1:0 --gearman 127.0.0.1:0 --safe rates --once imports");
-    assert!(good && said.contains("pumiceway serve --site site.toml"), "{said}");
-    assert_eq!(site.run("check-config --site site.toml"), (true, "pumiceway: good\n".to_owned()));
+    assert!(
+        good && said.contains("pumiceway serve --site site.toml"),
+        "{said}"
+    );
+    assert_eq!(
+        site.run("check-config --site site.toml"),
+        (true, "pumiceway: good\n".to_owned())
+    );
     let address = site.serve();
     let mut worker = Peer::new(TcpStream::connect(&address).unwrap());
     worker.send("[CAN_DO rates]");
@@ -84,7 +107,8 @@
     }
 }
 
-// Guards against a site file that is written over, and against an error that does not say where it is.
+// Guards against a site file that is written over, and against an error that does not say where it
+// is.
 #[test]
 fn a_site_file_is_never_written_over_and_a_bad_one_names_file_line_and_key() {
     let site = Site::new("bad");
@@ -94,15 +118,24 @@
     let (good, said) = site.run("init --yes");
     assert!(!good && said.contains("was not touched"), "{said}");
     assert_eq!(std::fs::read_to_string(&file).unwrap(), text);
-    std::fs::write(&file, text.replace("deadline = \"20 s\"", "deadline = \"20 sacks\"")).unwrap();
+    std::fs::write(
+        &file,
+        text.replace("deadline = \"20 s\"", "deadline = \"20 sacks\""),
+    )
+    .unwrap();
     for command in ["check-config", "serve"] {
         let (good, said) = site.run(&format!("{command} --site site.toml"));
-        let place =
-            "pumiceway: site.toml, line 27: classes.booking-import.deadline: \"20 sacks\": a time has";
-        assert!(!good && said.starts_with(place) && said.lines().count() == 1, "{said}");
+        let place = "pumiceway: site.toml, line 27: classes.booking-import.deadline: \"20 sacks\": a time has";
+        assert!(
+            !good && said.starts_with(place) && said.lines().count() == 1,
+            "{said}"
+        );
     }
     let (good, said) = site.run("serve --site elsewhere.toml");
     assert!(!good && said.contains("pumiceway init"), "{said}");
     let (good, said) = site.run("init --yes --site new.toml --once a/b");
-    assert!(!good && said.contains("classes.a/b") && !site.folder.join("new.toml").exists(), "{said}");
+    assert!(
+        !good && said.contains("classes.a/b") && !site.folder.join("new.toml").exists(),
+        "{said}"
+    );
 }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -26,14 +26,17 @@
 
 pub use template::{Answers, ClassAnswer, template};
 
-use pumiceway_decisions::api::{ClassId, Micros};
-use pumiceway_decisions::settings::{Conf, Lane, Limits, Rules, Semantics};
+use pumiceway_decisions::api::ClassId;
+use pumiceway_decisions::settings::{
+    ClassSettings, DeploymentSettings, Limits, RepeatSemantics, RuleSettings,
+};
 use pumiceway_net::config::{self, Config, ConfigError, Function, GearmanConfig, Retention};
-use pumiceway_net::discovery::{Endpoint, Listing};
+use pumiceway_net::discovery::{ListMessage, ListedEndpoint};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::ops::Range;
 use std::path::Path;
+use std::time::Duration;
 use toml::Spanned;
 use written::{Class, Repeat, Written};
 
@@ -69,8 +72,8 @@
 /// The most classes that Gearman workers can be told apart by.
 const CLASSES_MOST: usize = 6;
 /// The longest deadline; the timers and the answers kept are made for hours, not for days.
-const DEADLINE_MOST: Micros = 3_600_000_000;
-const DEADLINE_LEAST: Micros = 100_000;
+const DEADLINE_MOST: u64 = 3_600_000_000;
+const DEADLINE_LEAST: u64 = 100_000;
 
 /// Reads a site file.
 pub fn read_file(file: &Path) -> Result<Config, SiteError> {
@@ -115,29 +118,56 @@
         why: impl Into<String>,
     ) -> Result<T, SiteError> {
         let line = Some(line(self.text, span.start));
-        Err(SiteError { file: self.file.to_owned(), line, key: key.into(), why: why.into() })
+        Err(SiteError {
+            file: self.file.to_owned(),
+            line,
+            key: key.into(),
+            why: why.into(),
+        })
     }
 
     fn whole<T>(&self, key: &str, why: impl Into<String>) -> Result<T, SiteError> {
-        Err(SiteError { file: self.file.to_owned(), line: None, key: key.to_owned(), why: why.into() })
+        Err(SiteError {
+            file: self.file.to_owned(),
+            line: None,
+            key: key.to_owned(),
+            why: why.into(),
+        })
     }
 
-    fn within(&self, key: &str, n: &Spanned<usize>, least: usize, most: usize) -> Result<usize, SiteError> {
+    fn within(
+        &self,
+        key: &str,
+        n: &Spanned<usize>,
+        least: usize,
+        most: usize,
+    ) -> Result<usize, SiteError> {
         match (least..=most).contains(n.get_ref()) {
             true => Ok(*n.get_ref()),
-            false => self.wrong(n.span(), key, format!("{} is not between {least} and {most}", n.get_ref())),
+            false => self.wrong(
+                n.span(),
+                key,
+                format!("{} is not between {least} and {most}", n.get_ref()),
+            ),
         }
     }
 
-    fn class(&self, name: &str, class: Spanned<Class>) -> Result<Lane, SiteError> {
+    fn class(&self, name: &str, class: Spanned<Class>) -> Result<ClassSettings, SiteError> {
         let key = |part: &str| format!("classes.{name}{part}");
         let span = class.span();
         let class = class.into_inner();
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if name.is_empty() || !name.chars().all(plain) {
-            return self.wrong(span, key(""), "a class has a name of letters, digits, '-', '_' and '.'");
+            return self.wrong(
+                span,
+                key(""),
+                "a class has a name of letters, digits, '-', '_' and '.'",
+            );
         }
-        let (wanted, deadline) = (class.wanted.get_ref().micros(), class.deadline.get_ref().micros());
+        let (wanted, deadline) = (
+            class.wanted.get_ref().micros(),
+            class.deadline.get_ref().micros(),
+        );
         if !(DEADLINE_LEAST..=DEADLINE_MOST).contains(&deadline) {
             return self.wrong(
                 class.deadline.span(),
@@ -149,44 +179,66 @@
             let why = "the wanted time is more than nothing and no longer than the deadline";
             return self.wrong(class.wanted.span(), key(".wanted"), why);
         }
-        if let Some(wait) = class.wait.as_ref().filter(|w| w.get_ref().micros() > deadline) {
-            return self.wrong(wait.span(), key(".wait"), "a job can't wait for longer than its deadline");
+        if let Some(wait) = class
+            .wait
+            .as_ref()
+            .filter(|w| w.get_ref().micros() > deadline)
+        {
+            return self.wrong(
+                wait.span(),
+                key(".wait"),
+                "a job can't wait for longer than its deadline",
+            );
         }
         let (stretch, worth) = (*class.stretch.get_ref(), *class.worth.get_ref());
         if !(0.0..=1_000.0).contains(&stretch) {
-            return self.wrong(class.stretch.span(), key(".stretch"), "it is between 0 and 1000");
+            return self.wrong(
+                class.stretch.span(),
+                key(".stretch"),
+                "it is between 0 and 1000",
+            );
         }
         if !(worth > 0.0 && worth <= 1e6) {
-            return self.wrong(class.worth.span(), key(".worth"), "it is more than 0 and at most 1000000");
+            return self.wrong(
+                class.worth.span(),
+                key(".worth"),
+                "it is more than 0 and at most 1000000",
+            );
         }
-        Ok(Lane {
+        Ok(ClassSettings {
             name: name.to_owned(),
-            aim_us: wanted,
-            aim_stretch: Some(stretch),
+            latency_objective_us: wanted,
+            objective_stretch: Some(stretch),
             deadline_us: deadline,
-            wait_us: Some(class.wait.map_or(deadline, |w| w.get_ref().micros())),
-            points: worth,
-            semantics: match class.repeat {
-                Repeat::Safe => Semantics::ReadLike,
-                Repeat::Never => Semantics::NonIdempotent,
+            max_queue_time_us: Some(class.wait.map_or(deadline, |w| w.get_ref().micros())),
+            priority_weight: worth,
+            repeats: match class.repeat {
+                Repeat::Safe => RepeatSemantics::Idempotent,
+                Repeat::Never => RepeatSemantics::NonIdempotent,
             },
-            dedup_scope: None,
-            zones_only: None,
-            kinds_open: None,
-            window_us: 0,
+            deduplication_scope: None,
+            allowed_zones: None,
+            allowed_kinds: None,
+            deduplication_window_us: 0,
         })
     }
 
     fn config(&self, w: Written) -> Result<Config, SiteError> {
         if w.classes.is_empty() {
-            return self.whole("classes", "a site has at least one class, such as [classes.booking-import]");
+            return self.whole(
+                "classes",
+                "a site has at least one class, such as [classes.booking-import]",
+            );
         }
         if w.listen.gearman.is_some() && w.classes.len() > CLASSES_MOST {
-            return self.whole("classes", format!("with Gearman there are at most {CLASSES_MOST} of them"));
+            return self.whole(
+                "classes",
+                format!("with Gearman there are at most {CLASSES_MOST} of them"),
+            );
         }
-        let mut lanes = Vec::new();
+        let mut classes = Vec::new();
         for (name, class) in w.classes {
-            lanes.push(self.class(&name, class)?);
+            classes.push(self.class(&name, class)?);
         }
         let limits = w.limits;
         let sockets = self.within("limits.sockets", &limits.sockets, 128, 1 << 20)?;
@@ -198,52 +250,55 @@
                 "it is 32 MiB at least, and 1 TiB at most",
             );
         }
-        let most_held = self.within("limits.waiting", &limits.waiting, 1, 10_000)?;
-        let conf = Conf {
-            me: 0,
-            n_instances: 1,
+        let max_queued = self.within("limits.waiting", &limits.waiting, 1, 10_000)?;
+        let deployment = DeploymentSettings {
+            instance_index: 0,
+            instance_count: 1,
             zones: vec![w.zone.clone()],
-            my_zone: Some(w.zone.clone()),
+            home_zone: Some(w.zone.clone()),
             kinds: vec!["worker".to_owned()],
-            lanes,
+            classes,
             discovery: Default::default(),
-            family_info: Default::default(),
+            service: Default::default(),
             limits: Limits {
-                cancel: true,
-                conn_idle_us: 0,
+                cancellation: true,
+                connection_idle_us: 0,
                 connect_timeout_us: 1_000_000,
                 max_retry_after_us: 2_000_000,
-                most_tries: self.within("limits.tries", &limits.tries, 1, 100)?,
-                most_held,
-                probes: false,
+                max_attempts: self.within("limits.tries", &limits.tries, 1, 100)?,
+                max_queued,
+                health_checks: false,
                 retry_after: true,
-                second_copies: false,
+                hedging: false,
             },
             prices: Default::default(),
-            report: Default::default(),
-            rules: Rules {
-                ask_within_us: 0,
+            load_reports: Default::default(),
+            rules: RuleSettings {
+                max_poll_interval_us: 0,
                 drain_grace_us: 500_000,
-                cold_from: 1.0,
-                cold_us: 0,
-                fall_us: 0,
-                tip_multiple: 0.0,
+                slow_start_share: 1.0,
+                slow_start_us: 0,
+                overload_window_us: 0,
+                overload_multiple: 0.0,
             },
-            resolution_us: 1_000,
+            timer_resolution_us: 1_000,
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            weights: Default::default(),
+            over_quota_weight: 1.0,
+            weight_meaning: Default::default(),
+        };
+        let endpoints = w.workers.into_iter().map(|(name, worker)| {
+            ListedEndpoint::ready(name, worker.address.0.to_string(), w.zone.clone())
+        });
+        let bootstrap_list = ListMessage {
+            index: 0,
+            snapshot: true,
+            endpoints: endpoints.collect(),
         };
-        let endpoints = w
-            .workers
-            .into_iter()
-            .map(|(name, worker)| Endpoint::ready(name, worker.address.0.to_string(), w.zone.clone()));
-        let known = Listing { index: 0, snapshot: true, endpoints: endpoints.collect() };
         let mut functions = BTreeMap::new();
         for (name, f) in w.functions {
             let class = f.class.get_ref();
-            let Some(n) = conf.class(class) else {
-                let known: Vec<&str> = conf.lanes.iter().map(|l| l.name.as_str()).collect();
+            let Some(n) = deployment.class(class) else {
+                let known: Vec<&str> = deployment.classes.iter().map(|l| l.name.as_str()).collect();
                 let why = format!("there is no class {class:?}; there is {}", known.join(", "));
                 return self.wrong(f.class.span(), format!("functions.{name}.class"), why);
             };
@@ -252,19 +307,32 @@
                 let why = "it is more than 0 and at most 1000";
                 return self.wrong(f.slots.span(), format!("functions.{name}.slots"), why);
             }
-            functions.insert(name, Function { class: ClassId(n), slots, left: conf.lanes[n].deadline_us });
+            functions.insert(
+                name,
+                Function {
+                    class: ClassId(n),
+                    slots,
+                    deadline: Duration::from_micros(deployment.classes[n].deadline_us),
+                },
+            );
         }
         let connections = self.within("limits.connections", &limits.connections, 1, 100_000)?;
         let jobs = self.within("limits.jobs", &limits.jobs, 1, 10_000)?;
         let keep = w.keep;
         let retention = Retention {
-            time: keep.time.micros(),
+            time: keep.time.0,
             entries: self.within("keep.answers", &keep.answers, 1, 1_000_000)?,
             running: jobs,
             bytes: usize::try_from(keep.bytes.0).unwrap_or(usize::MAX),
         };
-        let mut config = Config::of_site(w.name, w.listen.http.0, conf, known, (sockets, memory))
-            .or_else(|e: ConfigError| self.whole("", e.to_string()))?;
+        let mut config = Config::of_site(
+            w.name,
+            w.listen.http.0,
+            deployment,
+            bootstrap_list,
+            (sockets, memory),
+        )
+        .or_else(|e: ConfigError| self.whole("", e.to_string()))?;
         if let Some(listen) = w.listen.gearman {
             let most = config.sockets.inbound / 2;
             if connections > most {
@@ -277,12 +345,12 @@
                 listen: listen.0,
                 connections,
                 jobs,
-                queue: most_held,
+                queue: max_queued,
                 warm: true,
                 retention,
                 functions,
             };
-            config.gearman = Some(gearman.with_default_functions(&config.conf));
+            config.gearman = Some(gearman.with_default_functions(&config.deployment));
         }
         Ok(config)
     }
--- a/crates/site/src/template.rs
+++ b/crates/site/src/template.rs
@@ -32,8 +32,14 @@
             http: SocketAddr::from(([127, 0, 0, 1], 3000)),
             gearman: Some(SocketAddr::from(([127, 0, 0, 1], 4730))),
             classes: vec![
-                ClassAnswer { name: "rate-push".to_owned(), once: false },
-                ClassAnswer { name: "booking-import".to_owned(), once: true },
+                ClassAnswer {
+                    name: "rate-push".to_owned(),
+                    once: false,
+                },
+                ClassAnswer {
+                    name: "booking-import".to_owned(),
+                    once: true,
+                },
             ],
         }
     }
@@ -41,7 +47,12 @@
 
 /// The text of a site file with these answers.
 pub fn template(answers: &Answers) -> String {
-    let Answers { name, http, gearman, classes } = answers;
+    let Answers {
+        name,
+        http,
+        gearman,
+        classes,
+    } = answers;
     let quoted = |text: &str| toml::Value::from(text).to_string();
     let gearman = match gearman {
         Some(address) => format!("gearman = \"{address}\""),
@@ -70,7 +81,13 @@
                 3,
                 "A job that may have run is never run again: it is answered failed.",
             ),
-            false => ("safe", "500 ms", "10 s", 2, "A job may run again when a worker drops out."),
+            false => (
+                "safe",
+                "500 ms",
+                "10 s",
+                2,
+                "A job may run again when a worker drops out.",
+            ),
         };
         let _ = write!(
             text,
--- a/crates/site/src/units.rs
+++ b/crates/site/src/units.rs
@@ -17,9 +17,11 @@
 
 impl<'de> Deserialize<'de> for Time {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Time, D::Error> {
-        read(from, r#"a time has a number and a unit, such as "500 ms", "20 s" or "10 min""#, |text| {
-            humantime::parse_duration(text).ok().map(Time)
-        })
+        read(
+            from,
+            r#"a time has a number and a unit, such as "500 ms", "20 s" or "10 min""#,
+            |text| humantime::parse_duration(text).ok().map(Time),
+        )
     }
 }
 
@@ -29,11 +31,18 @@
 
 impl<'de> Deserialize<'de> for Bytes {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Bytes, D::Error> {
-        read(from, r#"a size has a number and a unit, such as "64 KiB" or "16 MiB""#, |text| {
-            // Prevents: a size without a unit passes as one of that many bytes.
-            let unit = text.ends_with(|c: char| c.is_ascii_alphabetic());
-            text.parse::<bytesize::ByteSize>().ok().filter(|_| unit).map(|size| Bytes(size.as_u64()))
-        })
+        read(
+            from,
+            r#"a size has a number and a unit, such as "64 KiB" or "16 MiB""#,
+            |text| {
+                // Prevents: a size without a unit passes as one of that many bytes.
+                let unit = text.ends_with(|c: char| c.is_ascii_alphabetic());
+                text.parse::<bytesize::ByteSize>()
+                    .ok()
+                    .filter(|_| unit)
+                    .map(|size| Bytes(size.as_u64()))
+            },
+        )
     }
 }
 
@@ -43,9 +52,11 @@
 
 impl<'de> Deserialize<'de> for Address {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Address, D::Error> {
-        read(from, r#"an address has numbers and a port, such as "127.0.0.1:3000""#, |text| {
-            text.parse().ok().map(Address)
-        })
+        read(
+            from,
+            r#"an address has numbers and a port, such as "127.0.0.1:3000""#,
+            |text| text.parse().ok().map(Address),
+        )
     }
 }
 
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,6 +1,7 @@
-//! What the record costs: syncs a second of this disk, changes a second with and without groups, the time until a change
-//! is safe, and how long the start takes with many open records. Run with `cargo bench -p pumiceway-store`; the files are
-//! made in the target folder, since the temporary folder may be memory.
+//! What the record costs: syncs a second of this disk, changes a second with and without groups,
+//! the time until a change is safe, and how long the start takes with many open records. Run with
+//! `cargo bench -p pumiceway-store`; the files are made in the target folder, since the temporary
+//! folder may be memory.
 
 use hdrhistogram::Histogram;
 use pumiceway_store::{Ended, Kept, Store, Taken, Told, Write, on_disk};
@@ -26,9 +27,16 @@
 
 /// The three changes of a job: taken, out, over.
 fn job(n: u64) -> [Write; 3] {
-    let ended =
-        Ended { at: 1_800_000_001_000_000, kept: Kept::Served(b"{\"ok\":true}".to_vec()), unsettled: false };
-    [Write::Taken(n, taken(n)), Write::Out(n), Write::Over(n, ended)]
+    let ended = Ended {
+        at: 1_800_000_001_000_000,
+        kept: Kept::Served(b"{\"ok\":true}".to_vec()),
+        unsettled: false,
+    };
+    [
+        Write::Taken(n, taken(n)),
+        Write::Out(n),
+        Write::Over(n, ended),
+    ]
 }
 
 fn file(folder: &Path, name: &str) -> PathBuf {
@@ -47,7 +55,10 @@
     let mut hand = |n: u64, step: usize, out: &mut std::collections::VecDeque<_>| {
         number += 1;
         let [a, b, c] = job(n);
-        let handed = store.write(number, [a, b, c].into_iter().nth(step).unwrap_or(Write::Forget(n)));
+        let handed = store.write(
+            number,
+            [a, b, c].into_iter().nth(step).unwrap_or(Write::Forget(n)),
+        );
         out.push_back((number, n, step, Instant::now()));
         handed
     };
@@ -58,7 +69,9 @@
     while let Ok(Told::Safe(upto)) = told.recv() {
         groups += 1;
         while out.front().is_some_and(|(number, ..)| *number <= upto) {
-            let Some((_, n, step, at)) = out.pop_front() else { break };
+            let Some((_, n, step, at)) = out.pop_front() else {
+                break;
+            };
             times.record(at.elapsed().as_micros() as u64)?;
             if step < 2 {
                 assert!(hand(n, step + 1, &mut out));
@@ -97,7 +110,10 @@
         plain.write_all(&[7; 4_096])?;
         plain.sync_data()?;
     }
-    println!("this disk: {:.0} appends of 4 KiB with a sync a second", 200.0 / start.elapsed().as_secs_f64());
+    println!(
+        "this disk: {:.0} appends of 4 KiB with a sync a second",
+        200.0 / start.elapsed().as_secs_f64()
+    );
     println!("at a time    jobs   jobs/s  syncs/s  syncs/job   p50 ms   p99 ms");
     for (jobs, at_a_time) in [(300, 1), (3_000, 16), (10_000, 64), (20_000, 256)] {
         play(&folder, jobs, at_a_time)?;
@@ -118,7 +134,11 @@
         let (_store, loaded) = Store::start(&path, on_disk(path.clone()), |_| {})?;
         let took = start.elapsed();
         assert_eq!(loaded.len() as u64, open);
-        println!("{open:12}  {:8.1}  {:10}", took.as_secs_f64() * 1_000.0, std::fs::metadata(&path)?.len());
+        println!(
+            "{open:12}  {:8.1}  {:10}",
+            took.as_secs_f64() * 1_000.0,
+            std::fs::metadata(&path)?.len()
+        );
     }
     std::fs::remove_dir_all(&folder)?;
     Ok(())
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -53,10 +53,20 @@
 /// A file on disk. Its folder is made where there is none, for its owner alone.
 pub fn on_disk(file: PathBuf) -> Open {
     Box::new(move || {
-        let refused = |why: std::io::Error| StoreError::Refused { file: file.clone(), why: why.to_string() };
-        if let Some(folder) = file.parent().filter(|f| !f.as_os_str().is_empty() && !f.exists()) {
+        let refused = |why: std::io::Error| StoreError::Refused {
+            file: file.clone(),
+            why: why.to_string(),
+        };
+        if let Some(folder) = file
+            .parent()
+            .filter(|f| !f.as_os_str().is_empty() && !f.exists())
+        {
             use std::os::unix::fs::DirBuilderExt;
-            std::fs::DirBuilder::new().recursive(true).mode(0o700).create(folder).map_err(refused)?;
+            std::fs::DirBuilder::new()
+                .recursive(true)
+                .mode(0o700)
+                .create(folder)
+                .map_err(refused)?;
         }
         // Prevents: an empty file, such as a full disk leaves behind, counts as damaged for ever.
         Database::create(&file).map_err(|e| sort(&file, e))
@@ -67,10 +77,18 @@
     let file = file.to_owned();
     match e {
         DatabaseError::DatabaseAlreadyOpen => StoreError::InUse(file),
-        DatabaseError::Storage(redb::StorageError::Io(e)) if e.kind() != std::io::ErrorKind::InvalidData => {
-            StoreError::Refused { file, why: e.to_string() }
+        DatabaseError::Storage(redb::StorageError::Io(e))
+            if e.kind() != std::io::ErrorKind::InvalidData =>
+        {
+            StoreError::Refused {
+                file,
+                why: e.to_string(),
+            }
         }
-        e => StoreError::Damaged { file, why: e.to_string() },
+        e => StoreError::Damaged {
+            file,
+            why: e.to_string(),
+        },
     }
 }
 
@@ -78,7 +96,11 @@
 pub(crate) type Failure = Box<dyn std::error::Error + Send + Sync>;
 
 fn pack(bytes: &[u8]) -> Result<Vec<u8>, Failure> {
-    let packed = if bytes.len() >= PACK_LEAST { zstd::bulk::compress(bytes, LEVEL)? } else { vec![] };
+    let packed = if bytes.len() >= PACK_LEAST {
+        zstd::bulk::compress(bytes, LEVEL)?
+    } else {
+        vec![]
+    };
     // The first byte tells: 1 packed, 0 as it is.
     Ok(match packed.is_empty() || packed.len() >= bytes.len() {
         true => [&[0], bytes].concat(),
@@ -108,7 +130,9 @@
     };
     match meta.get("format")?.map(|format| format.value()) {
         Some(FORMAT) => {}
-        Some(other) => return Err(format!("its form is {other}, and this program knows {FORMAT}").into()),
+        Some(other) => {
+            return Err(format!("its form is {other}, and this program knows {FORMAT}").into());
+        }
         None => return Err("it has no form that this program knows".into()),
     }
     let (taken, bodies) = (reading.open_table(TAKEN)?, reading.open_table(BODIES)?);
@@ -123,13 +147,20 @@
         if let Some(body) = bodies.get(record)? {
             taken.body = unpack(body.value())?;
         }
-        all.push(Loaded { record, taken, state: decode(state.value())? });
+        all.push(Loaded {
+            record,
+            taken,
+            state: decode(state.value())?,
+        });
     }
     Ok(all)
 }
 
 /// Writes all of this at once, or nothing.
-pub(crate) fn write<'a>(db: &Database, writes: impl Iterator<Item = &'a Write>) -> Result<(), Failure> {
+pub(crate) fn write<'a>(
+    db: &Database,
+    writes: impl Iterator<Item = &'a Write>,
+) -> Result<(), Failure> {
     let writing = db.begin_write()?;
     {
         writing.open_table(META)?.insert("format", FORMAT)?;
@@ -139,7 +170,10 @@
         for write in writes {
             let (record, state) = match write {
                 Write::Taken(record, new) => {
-                    let head = Taken { body: vec![], ..new.clone() };
+                    let head = Taken {
+                        body: vec![],
+                        ..new.clone()
+                    };
                     taken.insert(record, &pack(&postcard::to_stdvec(&head)?)?[..])?;
                     bodies.insert(record, &pack(&new.body)?[..])?;
                     (record, State::Waiting)
@@ -151,9 +185,20 @@
                     (record, State::Over(ended.clone()))
                 }
                 Write::Settled(record) => {
-                    let state = states.get(record)?.map(|row| decode(row.value())).transpose()?;
-                    let Some(State::Over(ended)) = state else { continue };
-                    (record, State::Over(Ended { unsettled: false, ..ended }))
+                    let state = states
+                        .get(record)?
+                        .map(|row| decode(row.value()))
+                        .transpose()?;
+                    let Some(State::Over(ended)) = state else {
+                        continue;
+                    };
+                    (
+                        record,
+                        State::Over(Ended {
+                            unsettled: false,
+                            ..ended
+                        }),
+                    )
                 }
                 Write::Forget(record) => {
                     taken.remove(record)?;
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -40,20 +40,37 @@
         tell: impl Fn(Told) + Send + 'static,
     ) -> Result<(Store, Vec<Loaded>), StoreError> {
         let db = open()?;
-        let damaged =
-            |why: file::Failure| StoreError::Damaged { file: file.to_owned(), why: why.to_string() };
+        let damaged = |why: file::Failure| StoreError::Damaged {
+            file: file.to_owned(),
+            why: why.to_string(),
+        };
         let loaded = file::load(&db).map_err(damaged)?;
         let (changes, handed) = sync_channel(WAITING);
-        let writer =
-            Writer { db: Some(db), open, handed, unsafe_yet: VecDeque::new(), tell, refusing: false };
+        let writer = Writer {
+            db: Some(db),
+            open,
+            handed,
+            unsafe_yet: VecDeque::new(),
+            tell,
+            refusing: false,
+        };
         let thread = std::thread::spawn(move || writer.run());
-        Ok((Store { changes: Some(changes), thread: Some(thread) }, loaded))
+        Ok((
+            Store {
+                changes: Some(changes),
+                thread: Some(thread),
+            },
+            loaded,
+        ))
     }
 
-    /// Hands a change over, without waiting; its number comes back as [`Told::Safe`]. Whether there was room: with
-    /// none, the disk is far too slow or refuses for long, and the change is not taken.
+    /// Hands a change over, without waiting; its number comes back as [`Told::Safe`]. Whether there
+    /// was room: with none, the disk is far too slow or refuses for long, and the change is not
+    /// taken.
     pub fn write(&self, number: u64, change: Write) -> bool {
-        self.changes.as_ref().is_some_and(|changes| changes.try_send((number, change)).is_ok())
+        self.changes
+            .as_ref()
+            .is_some_and(|changes| changes.try_send((number, change)).is_ok())
     }
 }
 
@@ -137,7 +154,8 @@
             Some(db) => db,
             None => (self.open)().map_err(|e| e.to_string())?,
         };
-        file::write(&db, self.unsafe_yet.iter().map(|(_, write)| write)).map_err(|e| e.to_string())?;
+        file::write(&db, self.unsafe_yet.iter().map(|(_, write)| write))
+            .map_err(|e| e.to_string())?;
         self.db = Some(db);
         let upto = self.unsafe_yet.back().map_or(0, |(number, _)| *number);
         self.unsafe_yet.clear();
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,6 +1,8 @@
 //! The store on a disk that fails: refused writes and syncs, a full disk, and an end at any step.
 
-use pumiceway_store::{Ended, Kept, Loaded, Open, State, Store, StoreError, Taken, Told, Write, on_disk};
+use pumiceway_store::{
+    Ended, Kept, Loaded, Open, State, Store, StoreError, Taken, Told, Write, on_disk,
+};
 use redb::{Database, StorageBackend};
 use std::collections::BTreeMap;
 use std::io;
@@ -90,29 +92,47 @@
     fn open(&self) -> Open {
         let disk = self.clone();
         Box::new(move || {
-            let failed =
-                |e: redb::DatabaseError| StoreError::Refused { file: "disk".into(), why: e.to_string() };
-            Database::builder().create_with_backend(disk.clone()).map_err(failed)
+            let failed = |e: redb::DatabaseError| StoreError::Refused {
+                file: "disk".into(),
+                why: e.to_string(),
+            };
+            Database::builder()
+                .create_with_backend(disk.clone())
+                .map_err(failed)
         })
     }
 
-    /// What is found after the power went: of the pieces that were not synced, every `keep`-th is there, the last one
-    /// torn in two.
+    /// What is found after the power went: of the pieces that were not synced, every `keep`-th is
+    /// there, the last one torn in two.
     fn after_power_cut(&self, keep: usize) -> Disk {
         let disk = self.0.lock().unwrap();
         let mut now = disk.synced.clone();
         now.resize(disk.now.len().max(now.len()), 0);
-        for (n, (from, data)) in disk.pieces.iter().enumerate().filter(|(n, _)| keep > 0 && n % keep == 0) {
-            let length = if n + 1 == disk.pieces.len() { data.len() / 2 } else { data.len() };
+        for (n, (from, data)) in disk
+            .pieces
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| keep > 0 && n % keep == 0)
+        {
+            let length = if n + 1 == disk.pieces.len() {
+                data.len() / 2
+            } else {
+                data.len()
+            };
             now[*from..from + length].copy_from_slice(&data[..length]);
         }
-        Disk(Arc::new(Mutex::new(Inner { synced: now.clone(), now, ..Inner::default() })))
+        Disk(Arc::new(Mutex::new(Inner {
+            synced: now.clone(),
+            now,
+            ..Inner::default()
+        })))
     }
 }
 
 fn start(open: Open) -> (Store, Vec<Loaded>, Receiver<Told>) {
     let (tell, told) = channel();
-    let (store, loaded) = Store::start(Path::new("disk"), open, move |t| drop(tell.send(t))).unwrap();
+    let (store, loaded) =
+        Store::start(Path::new("disk"), open, move |t| drop(tell.send(t))).unwrap();
     (store, loaded, told)
 }
 
@@ -135,12 +155,25 @@
         0 => Kept::Served("made ".repeat(n as usize).into_bytes()),
         _ => Kept::Failed("may have run".into()),
     };
-    Write::Over(n, Ended { at: 5_000 + n, kept, unsettled: n % 2 == 1 })
+    Write::Over(
+        n,
+        Ended {
+            at: 5_000 + n,
+            kept,
+            unsettled: n % 2 == 1,
+        },
+    )
 }
 
 /// The story of one record, a change at a time.
 fn story(n: u64) -> Vec<Write> {
-    let mut changes = vec![Write::Taken(n, taken(n)), Write::Out(n), Write::Back(n), Write::Out(n), over(n)];
+    let mut changes = vec![
+        Write::Taken(n, taken(n)),
+        Write::Out(n),
+        Write::Back(n),
+        Write::Out(n),
+        over(n),
+    ];
     match n % 3 {
         1 => changes.push(Write::Settled(n)),
         2 => changes.push(Write::Forget(n)),
@@ -174,19 +207,25 @@
 }
 
 fn found(loaded: Vec<Loaded>) -> BTreeMap<u64, (Taken, State)> {
-    loaded.into_iter().map(|l| (l.record, (l.taken, l.state))).collect()
+    loaded
+        .into_iter()
+        .map(|l| (l.record, (l.taken, l.state)))
+        .collect()
 }
 
 fn until(told: &Receiver<Told>, wanted: Told) -> Vec<Told> {
     let mut all = Vec::new();
     while all.last() != Some(&wanted) {
-        all.push(told.recv_timeout(std::time::Duration::from_secs(20)).unwrap_or_else(|_| panic!("{all:?}")));
+        all.push(
+            told.recv_timeout(std::time::Duration::from_secs(20))
+                .unwrap_or_else(|_| panic!("{all:?}")),
+        );
     }
     all
 }
 
-// Guards against a change that was told safe and is not there after the power went, whatever step it went at, and
-// against half of one.
+// Guards against a change that was told safe and is not there after the power went, whatever step
+// it went at, and against half of one.
 #[test]
 fn what_was_told_safe_is_there_after_an_end_at_any_step() {
     // Every step and three records with SOAK=1, which takes minutes.
@@ -202,7 +241,8 @@
         if let Ok(db) = (disk.open())() {
             drop(db);
             let (tell, told) = channel();
-            if let Ok((store, _)) = Store::start(Path::new("disk"), disk.open(), move |t| drop(tell.send(t)))
+            if let Ok((store, _)) =
+                Store::start(Path::new("disk"), disk.open(), move |t| drop(tell.send(t)))
             {
                 for (n, change) in changes.iter().enumerate() {
                     assert!(store.write(n as u64 + 1, change.clone()));
@@ -230,14 +270,23 @@
             let (_store, loaded, _) = start(disk.after_power_cut(keep).open());
             let found = found(loaded);
             // The change that was being written may be there or not; nothing else may differ.
-            let good = [safe, safe + 1].iter().any(|&n| found == model(&changes[..n.min(changes.len())]));
-            assert!(good, "power gone at step {end}, {safe} safe, every {keep}th piece: {found:?}");
+            let good = [safe, safe + 1]
+                .iter()
+                .any(|&n| found == model(&changes[..n.min(changes.len())]));
+            assert!(
+                good,
+                "power gone at step {end}, {safe} safe, every {keep}th piece: {found:?}"
+            );
         }
     }
-    assert!(ends > 4, "the power went while changes were written {ends} times only");
+    assert!(
+        ends > 4,
+        "the power went while changes were written {ends} times only"
+    );
 }
 
-// Guards against a refused write, a failed sync or a full disk that loses a change, and against one taken for safe.
+// Guards against a refused write, a failed sync or a full disk that loses a change, and against one
+// taken for safe.
 #[test]
 fn what_the_disk_refuses_is_written_once_it_takes_changes_again() {
     let changes: Vec<Write> = (1..=6).flat_map(story).collect();
@@ -247,7 +296,9 @@
         assert!(store.write(1, changes[0].clone()));
         until(&told, Told::Safe(1));
         let big = Taken {
-            body: (0..4_000_000u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8).collect(),
+            body: (0..4_000_000u32)
+                .map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8)
+                .collect(),
             ..taken(99)
         };
         match full {
@@ -275,7 +326,8 @@
 fn a_burst_costs_few_syncs() {
     let disk = Disk::default();
     let (store, _, told) = start(disk.open());
-    // The disk takes nothing before all of them have been handed over, however fast it is beside us.
+    // The disk takes nothing before all of them have been handed over, however fast it is beside
+    // us.
     let held = disk.0.lock().unwrap();
     let before = held.syncs;
     for n in 1..=2_000 {
@@ -291,7 +343,8 @@
     std::env::temp_dir().join(format!("pumiceway-store-{}-{name}", std::process::id()))
 }
 
-// Guards against two dispatchers on one record, and against a foreign or damaged file that is written over.
+// Guards against two dispatchers on one record, and against a foreign or damaged file that is
+// written over.
 #[test]
 fn a_file_in_use_or_not_ours_is_refused_and_not_touched() {
     let folder = folder("use");
@@ -301,7 +354,11 @@
     assert!(matches!(open().err(), Some(StoreError::InUse(_))));
     drop(first);
     drop(open().unwrap());
-    std::fs::write(&file, "not a record at all, but long enough to look at ".repeat(200)).unwrap();
+    std::fs::write(
+        &file,
+        "not a record at all, but long enough to look at ".repeat(200),
+    )
+    .unwrap();
     let before = std::fs::read(&file).unwrap();
     let why = open().err().unwrap();
     assert!(matches!(why, StoreError::Damaged { .. }), "{why}");
@@ -318,10 +375,15 @@
         writing.commit().unwrap();
     }));
     let why = open().err().unwrap().to_string();
-    assert!(why.contains("its form is 2, and this program knows 1"), "{why}");
+    assert!(
+        why.contains("its form is 2, and this program knows 1"),
+        "{why}"
+    );
     std::fs::write(folder.join("flat"), "x").unwrap();
     let blocked = folder.join("flat/record.redb");
-    let why = Store::start(&blocked, on_disk(blocked.clone()), |_| {}).err().unwrap();
+    let why = Store::start(&blocked, on_disk(blocked.clone()), |_| {})
+        .err()
+        .unwrap();
     assert!(matches!(why, StoreError::Refused { .. }), "{why}");
     std::fs::remove_dir_all(folder).unwrap();
 }
