--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -1563,7 +1563,7 @@
             What::Hears(life, event) => {
                 match &event {
                     Event::AttemptEnded { attempt, .. } => {
-                        drop(self.attempts.remove(&(life, *attempt)))
+                        self.attempts.remove(&(life, *attempt));
                     }
                     Event::ClientDisconnected { handle } => self.left(life, *handle),
                     _ => {}
