--- a/crates/adapter/src/names.rs
+++ b/crates/adapter/src/names.rs
@@ -6,14 +6,14 @@
     EndpointEntry, EndpointId, EndpointState, LoadReport, RequestId, Timestamp,
 };
 use pumiceway_decisions::settings::DeploymentSettings;
-use std::borrow::Cow;
 use std::collections::HashMap;
 
 /// What the wire's names mean to one instance.
 pub struct Names {
     settings: DeploymentSettings,
     endpoint_ids: HashMap<Box<str>, EndpointId>,
-    endpoint_names: Vec<Box<str>>,
+    /// Name of each endpoint, by handle.
+    endpoints: Vec<Box<str>>,
     request_ids: HashMap<Box<str>, RequestId>,
     requests: HashMap<RequestId, OpenRequest>,
     next_request: u64,
@@ -33,7 +33,7 @@
         Names {
             settings,
             endpoint_ids: HashMap::new(),
-            endpoint_names: Vec::new(),
+            endpoints: Vec::new(),
             request_ids: HashMap::new(),
             requests: HashMap::new(),
             next_request: 0,
@@ -55,8 +55,8 @@
         Ok(EndpointEntry {
             endpoint: self.endpoint_id_or_new(&entry.name),
             name: &entry.name,
-            zone: zone.ok_or_else(|| EventError::UnknownZone(owned(&entry.zone)))?,
-            kind: kind.ok_or_else(|| EventError::UnknownKind(owned(&entry.kind)))?,
+            zone: zone.ok_or_else(|| EventError::UnknownZone(owned(entry.zone.as_deref())))?,
+            kind: kind.ok_or_else(|| EventError::UnknownKind(owned(entry.kind.as_deref())))?,
             cell: entry.cell,
             state: match entry.state {
                 wire::EndpointState::Ready => EndpointState::Ready,
@@ -74,8 +74,8 @@
         if let Some(&id) = self.endpoint_ids.get(name) {
             return id;
         }
-        let id = EndpointId(self.endpoint_names.len() as u32);
-        self.endpoint_names.push(name.into());
+        let id = EndpointId(self.endpoints.len() as u32);
+        self.endpoints.push(name.into());
         self.endpoint_ids.insert(name.into(), id);
         id
     }
@@ -86,7 +86,7 @@
     }
 
     pub fn endpoint_name(&self, id: EndpointId) -> String {
-        self.endpoint_names[id.index()].to_string()
+        self.endpoints[id.index()].to_string()
     }
 
     /// The handle of an open request.
@@ -161,6 +161,6 @@
     }
 }
 
-fn owned(name: &Option<Cow<str>>) -> String {
-    name.as_deref().unwrap_or_default().to_owned()
+fn owned(name: Option<&str>) -> String {
+    name.unwrap_or_default().to_owned()
 }
--- a/crates/core/src/endpoints/list.rs
+++ b/crates/core/src/endpoints/list.rs
@@ -29,7 +29,7 @@
     Discovery,
     /// Sessions of Gearman workers.
     Gearman,
-    /// Ephemeral nodes in ZooKeeper.
+    /// Ephemeral nodes in `ZooKeeper`.
     ZooKeeper,
 }
 
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -189,9 +189,9 @@
             EndpointListUpdate::Lost(_) => return AppliedUpdate::nothing(ListKind::SourceLost),
         };
         if is_outdated {
-            endpoints
-                .iter_mut()
-                .for_each(|endpoint| self.keep_departure(endpoint));
+            for endpoint in &mut endpoints {
+                self.keep_departure(endpoint);
+            }
         }
         let is_whole_list = kind != ListKind::Delta;
         if is_whole_list {
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -122,11 +122,11 @@
     fn apply(&mut self, now: Timestamp, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::RequestSubmitted { handle, request } => {
-                self.on_submitted(now, handle, request, effects)
+                self.on_submitted(now, handle, request, effects);
             }
             Event::ClientDisconnected { handle } => self.on_client_disconnected(now, handle),
             Event::AttemptUpdated { attempt, update } => {
-                self.on_attempt_updated(attempt, &update, effects)
+                self.on_attempt_updated(attempt, &update, effects);
             }
             Event::AttemptEnded {
                 attempt,
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -155,7 +155,10 @@
 
     /// Checks endpoints in turn, in the order of the first class.
     pub(super) fn refresh_reports(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let count = self.preferences.first().map_or(0, |order| order.len());
+        let count = self
+            .preferences
+            .first()
+            .map_or(0, super::preference::PreferenceOrder::len);
         if !self.can_poll_load() || count == 0 {
             return;
         }
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -97,6 +97,10 @@
     ///
     /// Handles of endpoints must have been on a list and indices must be in range; events for
     /// requests that are over are ignored.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "an event is over once it is handled"
+    )]
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         match event {
@@ -182,7 +186,7 @@
                 self.state.subscribe_at = Some(now + Duration::from_micros(backoff / 2) + jitter);
             }
             ListKind::Delta | ListKind::Snapshot | ListKind::Bootstrap => {
-                self.state.subscribe_failures = 0
+                self.state.subscribe_failures = 0;
             }
         }
     }
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -122,39 +122,42 @@
             }
             return;
         };
-        match (signal, &mut self.state) {
-            (LeaseSignal::Confirmed, LeaseState::Unconfirmed) => self.confirm(as_of, terms),
-            // A message that was read late must not take back what is known since.
-            (LeaseSignal::Confirmed, LeaseState::Confirmed { as_of: known, .. })
-                if *known <= as_of =>
-            {
-                self.confirm(as_of, terms);
-            }
-            (
-                LeaseSignal::WatchEnded,
-                LeaseState::Confirmed {
-                    as_of: known,
-                    expires_at,
-                },
-            ) => {
-                let end = match terms.unwatched {
-                    UnwatchedTerm::AfterLastMessage(term) => *known + term,
-                    UnwatchedTerm::AfterWatchEnd(term) => as_of + term,
-                };
-                *expires_at = (*expires_at).min(end);
-            }
+        match signal {
+            LeaseSignal::Confirmed => self.confirm(as_of, terms),
+            LeaseSignal::WatchEnded => self.end_watch(as_of, terms),
             // A crowded discovery fails calls in the same way as one that is down, and only the
             // second has nothing to tell: a failure renews nothing.
-            (LeaseSignal::CallFailed | LeaseSignal::Outdated, _) => {}
-            (LeaseSignal::Confirmed | LeaseSignal::WatchEnded, _) => {}
+            LeaseSignal::CallFailed | LeaseSignal::Outdated => {}
         }
     }
 
+    /// Renews the lease, unless the message was read late: it must not take back what is known
+    /// since.
     fn confirm(&mut self, as_of: Timestamp, terms: LeaseTerms) {
-        self.state = LeaseState::Confirmed {
-            as_of,
-            expires_at: as_of + terms.watched,
+        let is_stale =
+            matches!(self.state, LeaseState::Confirmed { as_of: known, .. } if known > as_of);
+        if !is_stale {
+            self.state = LeaseState::Confirmed {
+                as_of,
+                expires_at: as_of + terms.watched,
+            };
+        }
+    }
+
+    /// Shortens the lease to what holds without a watch; it never prolongs it.
+    fn end_watch(&mut self, as_of: Timestamp, terms: LeaseTerms) {
+        let LeaseState::Confirmed {
+            as_of: known,
+            expires_at,
+        } = &mut self.state
+        else {
+            return;
+        };
+        let end = match terms.unwatched {
+            UnwatchedTerm::AfterLastMessage(term) => *known + term,
+            UnwatchedTerm::AfterWatchEnd(term) => as_of + term,
         };
+        *expires_at = (*expires_at).min(end);
     }
 
     /// Whether the list may be used.
