--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -96,8 +96,10 @@
             wire::Event::EndpointList(list) => self.on_list(now, list)?,
             wire::Event::RequestArrived(request) => self.on_request(now, request)?,
             wire::Event::AttemptProgressed(progress) => self.on_progress(now, progress)?,
-            wire::Event::AttemptFinished(result) => self.on_attempt_finished(now, result)?,
-            wire::Event::ClientDisconnected(gone) => self.on_client_gone(now, &gone.request),
+            wire::Event::AttemptEnded(result) => self.on_attempt_ended(now, result)?,
+            wire::Event::ClientDisconnected(gone) => {
+                self.on_client_disconnected(now, &gone.request);
+            }
             wire::Event::TimerFired(fired) => self.on_timer(now, fired.timer),
             wire::Event::HealthChecked(result) => self.on_health_checked(now, result)?,
             wire::Event::StreamOpened(_)
@@ -187,10 +189,10 @@
         Ok(())
     }
 
-    fn on_attempt_finished(
+    fn on_attempt_ended(
         &mut self,
         now: Timestamp,
-        result: &wire::AttemptFinished,
+        result: &wire::AttemptEnded,
     ) -> Result<(), EventError> {
         let endpoint = self.names.endpoint_id(&result.endpoint)?;
         let Some(request) = self.names.request_id(&result.request) else {
@@ -210,11 +212,11 @@
             request_done: result.request_done,
             report,
         };
-        self.tell(now, Event::AttemptFinished(result));
+        self.tell(now, Event::AttemptEnded(result));
         Ok(())
     }
 
-    fn on_client_gone(&mut self, now: Timestamp, name: &str) {
+    fn on_client_disconnected(&mut self, now: Timestamp, name: &str) {
         if let Some(request) = self.names.request_id(name) {
             self.names.request_done(request);
             self.tell(now, Event::ClientDisconnected { request });
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -32,7 +32,7 @@
     #[serde(borrow, rename = "update-of")]
     AttemptProgressed(AttemptProgressed<'a>),
     #[serde(borrow, rename = "response")]
-    AttemptFinished(AttemptFinished<'a>),
+    AttemptEnded(AttemptEnded<'a>),
     #[serde(borrow, rename = "abandoned")]
     ClientDisconnected(ClientDisconnected<'a>),
     #[serde(rename = "elapsed")]
@@ -55,7 +55,7 @@
             Event::EndpointList(event) => event.instance,
             Event::RequestArrived(event) => event.instance,
             Event::AttemptProgressed(event) => event.instance,
-            Event::AttemptFinished(event) => event.instance,
+            Event::AttemptEnded(event) => event.instance,
             Event::ClientDisconnected(event) => event.instance,
             Event::TimerFired(event) => event.instance,
             Event::HealthChecked(event) => event.instance,
@@ -186,7 +186,7 @@
 
 /// The end of an attempt.
 #[derive(Deserialize)]
-pub struct AttemptFinished<'a> {
+pub struct AttemptEnded<'a> {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(borrow, rename = "corr")]
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -25,10 +25,10 @@
 #[derive(Default)]
 pub(crate) struct EndpointSet {
     /// By handle.
-    slots: Vec<Slot>,
+    rows: Vec<Row>,
     ids: HashMap<String, EndpointId>,
     /// Endpoints that a list which was up to date has shown as draining or gone.
-    left: HashSet<EndpointId>,
+    departed: HashSet<EndpointId>,
     /// Updates that were applied.
     update_count: u64,
     leases: PerSource<Lease>,
@@ -37,12 +37,12 @@
 }
 
 /// What a handle stands for.
-struct Slot {
+struct Row {
     source: EndpointSource,
     endpoint: Endpoint,
     /// The update with which it was first gone; `None` while it is not, and while that update is
     /// applied.
-    gone_since: Option<u64>,
+    gone_at_update: Option<u64>,
 }
 
 /// What has come of an update.
@@ -66,21 +66,19 @@
 
 impl EndpointSet {
     pub(crate) fn address(&self, id: EndpointId) -> Option<&EndpointAddress> {
-        self.slots
-            .get(id.index())
-            .map(|slot| &slot.endpoint.address)
+        self.rows.get(id.index()).map(|row| &row.endpoint.address)
     }
 
     /// Zone and cell of an endpoint.
     pub(crate) fn zone_and_cell(&self, id: EndpointId) -> (ZoneId, Option<u64>) {
-        let endpoint = self.slots.get(id.index()).map(|slot| &slot.endpoint);
+        let endpoint = self.rows.get(id.index()).map(|row| &row.endpoint);
         endpoint
             .map(|endpoint| (endpoint.zone, endpoint.cell))
             .unwrap_or_default()
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
-        self.slots.iter().map(|slot| &slot.endpoint)
+        self.rows.iter().map(|row| &row.endpoint)
     }
 
     /// Sets the terms of the lease on the list of a source.
@@ -127,31 +125,31 @@
     }
 
     fn listed(&self) -> Vec<EndpointId> {
-        let is_listed = |slot: &Slot| slot.endpoint.state != EndpointState::Gone;
+        let is_listed = |row: &Row| row.endpoint.state != EndpointState::Gone;
         let listed = self
-            .slots
+            .rows
             .iter()
             .enumerate()
-            .filter(|(_, slot)| is_listed(slot));
+            .filter(|(_, row)| is_listed(row));
         listed.map(|(index, _)| EndpointId(index as u32)).collect()
     }
 
     /// Whether anything new may be sent to an endpoint, and until when its first byte may be
     /// written.
-    pub(crate) fn permission(
+    pub(crate) fn write_permission(
         &self,
         now: Timestamp,
         id: EndpointId,
     ) -> Result<Option<Timestamp>, Denial> {
-        let slot = self.slots.get(id.index()).ok_or(Denial::UnknownEndpoint)?;
-        rules::endpoint_permission(now, slot.endpoint.state, self.leases.get(slot.source))
+        let row = self.rows.get(id.index()).ok_or(Denial::UnknownEndpoint)?;
+        rules::endpoint_permission(now, row.endpoint.state, self.leases.get(row.source))
     }
 
     /// An endpoint as the decisions see it.
     pub(crate) fn entry(&self, id: EndpointId) -> EndpointEntry<'_> {
-        let Slot {
+        let Row {
             source, endpoint, ..
-        } = &self.slots[id.index()];
+        } = &self.rows[id.index()];
         let is_usable = *self.usable.get(*source);
         EndpointEntry {
             endpoint: id,
@@ -195,11 +193,11 @@
         }
         let is_whole_list = kind != ListKind::Delta;
         if is_whole_list {
-            self.remove_all(source, is_outdated);
+            self.mark_all_gone(source, is_outdated);
         }
         let mut applied = AppliedUpdate::nothing(kind);
         self.merge(source, endpoints, is_outdated, in_use, &mut applied);
-        self.update_gone_since();
+        self.note_gone();
         if is_whole_list {
             // A whole list replaces the lists of all sources for the decisions.
             applied.endpoints = self.listed();
@@ -213,27 +211,27 @@
         let Some(id) = self
             .ids
             .get(&endpoint.name)
-            .filter(|id| self.left.contains(id))
+            .filter(|id| self.departed.contains(id))
         else {
             return;
         };
-        let known = &self.slots[id.index()].endpoint;
+        let known = &self.rows[id.index()].endpoint;
         if endpoint.state == EndpointState::Ready && known.started_at >= endpoint.started_at {
             endpoint.state = known.state;
             endpoint.started_at = known.started_at;
         }
     }
 
-    fn remove_all(&mut self, source: EndpointSource, is_outdated: bool) {
-        for (index, slot) in self
-            .slots
+    fn mark_all_gone(&mut self, source: EndpointSource, is_outdated: bool) {
+        for (index, row) in self
+            .rows
             .iter_mut()
             .enumerate()
-            .filter(|(_, slot)| slot.source == source)
+            .filter(|(_, row)| row.source == source)
         {
-            slot.endpoint.state = EndpointState::Gone;
+            row.endpoint.state = EndpointState::Gone;
             if !is_outdated {
-                self.left.insert(EndpointId(index as u32));
+                self.departed.insert(EndpointId(index as u32));
             }
         }
     }
@@ -254,9 +252,9 @@
             let is_ready = endpoint.state == EndpointState::Ready;
             let id = match self.ids.get(&endpoint.name).copied() {
                 // A source does not take over what another lists under the same name.
-                Some(id) if self.slots[id.index()].source != source => continue,
+                Some(id) if self.rows[id.index()].source != source => continue,
                 Some(id) => {
-                    self.slots[id.index()].endpoint = endpoint;
+                    self.rows[id.index()].endpoint = endpoint;
                     id
                 }
                 None => {
@@ -265,9 +263,9 @@
                 }
             };
             if is_ready {
-                self.left.remove(&id);
+                self.departed.remove(&id);
             } else if !is_outdated {
-                self.left.insert(id);
+                self.departed.insert(id);
             }
             applied.endpoints.push(id);
         }
@@ -281,20 +279,20 @@
         free_id: Option<EndpointId>,
         reassigned: &mut Vec<EndpointId>,
     ) -> EndpointId {
-        let id = free_id.unwrap_or(EndpointId(self.slots.len() as u32));
+        let id = free_id.unwrap_or(EndpointId(self.rows.len() as u32));
         self.ids.insert(endpoint.name.clone(), id);
-        let slot = Slot {
+        let row = Row {
             source,
             endpoint,
-            gone_since: None,
+            gone_at_update: None,
         };
         if free_id.is_some() {
-            let before = std::mem::replace(&mut self.slots[id.index()], slot);
+            let before = std::mem::replace(&mut self.rows[id.index()], row);
             self.ids.remove(&before.endpoint.name);
-            self.left.remove(&id);
+            self.departed.remove(&id);
             reassigned.push(id);
         } else {
-            self.slots.push(slot);
+            self.rows.push(row);
         }
         id
     }
@@ -303,10 +301,10 @@
     /// before this update, all but the last to leave, and none that anything may come for.
     fn reusable_ids(&self, in_use: &HashSet<EndpointId>) -> Vec<EndpointId> {
         let mut gone = Vec::new();
-        for (index, slot) in self.slots.iter().enumerate() {
-            if let Some(since) = slot
-                .gone_since
-                .filter(|_| slot.endpoint.state == EndpointState::Gone)
+        for (index, row) in self.rows.iter().enumerate() {
+            if let Some(since) = row
+                .gone_at_update
+                .filter(|_| row.endpoint.state == EndpointState::Gone)
             {
                 gone.push((since, EndpointId(index as u32)));
             }
@@ -320,11 +318,11 @@
             .collect()
     }
 
-    fn update_gone_since(&mut self) {
+    fn note_gone(&mut self) {
         self.update_count += 1;
-        for slot in &mut self.slots {
-            let is_gone = slot.endpoint.state == EndpointState::Gone;
-            slot.gone_since = is_gone.then_some(slot.gone_since.unwrap_or(self.update_count));
+        for row in &mut self.rows {
+            let is_gone = row.endpoint.state == EndpointState::Gone;
+            row.gone_at_update = is_gone.then_some(row.gone_at_update.unwrap_or(self.update_count));
         }
     }
 }
--- a/crates/core/src/idempotency_cache/tests.rs
+++ b/crates/core/src/idempotency_cache/tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn responses_are_cached_for_their_time_and_never_evicted() {
     let mut cache = cache(3, 10);
-    let failed = ClientResponse::Failed(Failure::DeadlineExceeded);
+    let failed = ClientResponse::Failed(Failure::NotServed);
     for number in 0..3 {
         assert_eq!(cache.look_up(at(0), &id(number)), Lookup::New);
         cache.begin(id(number), RequestId(number));
--- a/crates/core/src/reducer/attempts.rs
+++ b/crates/core/src/reducer/attempts.rs
@@ -16,7 +16,7 @@
 
 /// An attempt is waited for until this long before the client's deadline, as its response has to
 /// arrive before it.
-pub(super) const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+pub(super) const ATTEMPT_MARGIN: Duration = Duration::from_millis(25);
 /// How long idle connections are distrusted after one was found dead.
 const DISTRUST_IDLE: Duration = Duration::from_secs(30);
 
@@ -41,6 +41,7 @@
 impl Core {
     pub(super) fn send(&mut self, now: Timestamp, send: &SendRequest, effects: &mut Vec<Effect>) {
         let attempt = AttemptId(self.next_id());
+        // Before the attempt is recorded, as it would count against itself.
         let permission = self.send_permission(now, send);
         let address = self.endpoints.address(send.endpoint).cloned();
         let (zone, cell) = self.endpoints.zone_and_cell(send.endpoint);
@@ -57,7 +58,7 @@
             sent_at: now,
             execution,
         });
-        let latest = request.deadline.saturating_sub(RESPONSE_MARGIN);
+        let latest = request.deadline.saturating_sub(ATTEMPT_MARGIN);
         let timeout = send.timeout.filter(|timeout| !timeout.is_zero());
         let timeout_at = timeout.map_or(latest, |timeout| latest.min(now + timeout));
         let permission = if timeout_at <= now {
@@ -134,7 +135,7 @@
         let request = request.ok_or(Denial::RequestDone)?;
         let (zone, cell) = self.endpoints.zone_and_cell(send.endpoint);
         self.permission(now, request).send_to(zone, cell)?;
-        self.endpoints.permission(now, send.endpoint)
+        self.endpoints.write_permission(now, send.endpoint)
     }
 
     /// What the rules permit for a request.
@@ -286,7 +287,7 @@
             request_done,
             report,
         };
-        self.tell_balancer(api::Event::AttemptFinished(result));
+        self.tell_balancer(api::Event::AttemptEnded(result));
         self.forget_if_over(request);
     }
 }
--- a/crates/core/src/reducer/balancer.rs
+++ b/crates/core/src/reducer/balancer.rs
@@ -92,7 +92,7 @@
                 retry_after,
             } => self.shed(now, request, retry_after, effects),
             Action::Fail { request } => {
-                let response = ClientResponse::Failed(Failure::DeadlineExceeded);
+                let response = ClientResponse::Failed(Failure::NotServed);
                 self.respond(now, request, &response, effects);
             }
             Action::CheckHealth { endpoint } => self.check_health(now, endpoint, effects),
@@ -121,14 +121,14 @@
             ClientResponse::Overloaded { retry_after }
         } else {
             self.note_denial(Denial::MayHaveRun, effects);
-            ClientResponse::Failed(Failure::DeadlineExceeded)
+            ClientResponse::Failed(Failure::NotServed)
         };
         self.respond(now, request, &response, effects);
     }
 
     fn check_health(&mut self, now: Timestamp, endpoint: EndpointId, effects: &mut Vec<Effect>) {
         let check = HealthCheckId(self.next_id());
-        if let Err(denial) = self.endpoints.permission(now, endpoint) {
+        if let Err(denial) = self.endpoints.write_permission(now, endpoint) {
             self.note_denial(denial, effects);
             let (outcome, latency, report) = (Outcome::NotSent, Duration::ZERO, None);
             let result = HealthCheckResult {
@@ -179,7 +179,8 @@
         self.tell_balancer(api::Event::HealthChecked(result));
     }
 
-    /// Counts a decision that the rules do not permit.
+    /// Counts a decision that the rules do not permit, and warns, unless a response or the deadline
+    /// may simply have come first.
     pub(super) fn note_denial(&mut self, denial: Denial, effects: &mut Vec<Effect>) {
         let count = self.denials.entry(denial).or_default();
         *count += 1;
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -3,7 +3,7 @@
 //! A request is kept until it is done and has no attempt in flight. Clients that send a request
 //! again join the open one, by its unique id or by its request id with the same content.
 
-use super::attempts::RESPONSE_MARGIN;
+use super::attempts::ATTEMPT_MARGIN;
 use super::timers::Timer;
 use crate::idempotency_cache::Lookup;
 use crate::{
@@ -17,8 +17,8 @@
 use std::time::Duration;
 
 /// The final response is given this long before the client's deadline, as it has to arrive before
-/// it.
-const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
+/// it. Attempts end 15 ms earlier, so that the decisions can still choose the response.
+const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
 /// A request until it is over.
 pub(super) struct OpenRequest {
@@ -56,7 +56,7 @@
 
 /// The time at which a response is owed at once.
 fn respond_at(deadline: Timestamp) -> Timestamp {
-    deadline.saturating_sub(DEADLINE_MARGIN)
+    deadline.saturating_sub(FINAL_RESPONSE_MARGIN)
 }
 
 /// How long the id of a request that may have run is remembered: for as long as a client may wait
@@ -131,7 +131,9 @@
         self.tell_balancer(api::Event::RequestArrived(IncomingRequest {
             request: id,
             class: request.class,
-            remaining: remaining.saturating_sub(RESPONSE_MARGIN),
+            // The whole time, also during a shutdown: a shorter one would look like a request sent
+            // again.
+            remaining: remaining.saturating_sub(ATTEMPT_MARGIN),
             slots: request.slots,
             memory: request.memory,
             work_hint: None,
@@ -214,7 +216,7 @@
         self.tell_balancer(api::Event::DeadlineReached { request: id });
         self.run_balancer(now, effects);
         // Whatever they say, the client gets a response.
-        let response = ClientResponse::Failed(Failure::DeadlineExceeded);
+        let response = ClientResponse::Failed(Failure::NotServed);
         self.respond(now, id, &response, effects);
         self.tell_balancer(api::Event::ClientDisconnected { request: id });
     }
@@ -254,8 +256,8 @@
         self.finish(id);
     }
 
-    /// The request is over: if it may have run, and its class must not at will, its id does not run
-    /// again.
+    /// Remembers the id of a request that is over and may have run, unless its class may run any
+    /// number of times.
     fn consume_id(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/crates/core/src/reducer/shutdown.rs
+++ b/crates/core/src/reducer/shutdown.rs
@@ -1,7 +1,8 @@
 //! The shutdown, from the signal to the exit.
 //!
-//! The end may be forced at a time after the signal that follows from the longest deadline. The
-//! schedule is laid out before that end; with a longest deadline of 3 s or more:
+//! The supervisor may force the end (SIGKILL), at a time after the signal that follows from the
+//! longest deadline. The schedule is laid out before that end; with a longest deadline of 3 s or
+//! more:
 //!
 //! | time after the signal | what happens |
 //! | --- | --- |
@@ -18,8 +19,8 @@
 use pumiceway_decisions::api::{Settings, Timestamp};
 use std::time::Duration;
 
-/// New clients still come for this long that have not heard of the shutdown.
-const NEW_CLIENTS: Duration = Duration::from_millis(600);
+/// Clients that have not heard of the shutdown still come for this long.
+const LATE_REQUEST_AFTER: Duration = Duration::from_millis(600);
 /// The end is forced no sooner than this long after the longest deadline ...
 const FORCED_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// ... of which no more than this counts.
@@ -49,8 +50,10 @@
             .unwrap_or_default();
         let forced_end = FORCED_AFTER_DEADLINE + longest_deadline.min(MAX_DEADLINE);
         Schedule {
-            late_request_after: NEW_CLIENTS,
-            close_frontends_after: forced_end.saturating_sub(CLOSE_BEFORE_END).max(NEW_CLIENTS),
+            late_request_after: LATE_REQUEST_AFTER,
+            close_frontends_after: forced_end
+                .saturating_sub(CLOSE_BEFORE_END)
+                .max(LATE_REQUEST_AFTER),
             respond_by: forced_end.saturating_sub(RESPOND_BEFORE_END),
         }
     }
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -35,9 +35,10 @@
 /// Why a request failed that may have run. Clients get the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
-    /// It was not served before its deadline.
+    /// Not served by its deadline, or an attempt may have run and the rules permit no other. How
+    /// long it took tells which.
     #[error("not done in time")]
-    DeadlineExceeded,
+    NotServed,
     /// A request with its id is over and may have run.
     #[error("it may have run before")]
     MayHaveRunBefore,
--- a/crates/core/tests/shutdown.rs
+++ b/crates/core/tests/shutdown.rs
@@ -26,9 +26,9 @@
         1
     );
     let late = core.advance(1_900 * MS);
-    let failed = ClientResponse::Failed(Failure::DeadlineExceeded);
+    let failed = ClientResponse::Failed(Failure::NotServed);
     assert_eq!(responses(&late), [(2, failed)]);
-    assert_eq!(Failure::DeadlineExceeded.to_string(), "not done in time");
+    assert_eq!(Failure::NotServed.to_string(), "not done in time");
     assert_eq!(responses(&core.advance(1_700 * MS)).len(), 1);
 }
 
--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -13,7 +13,8 @@
         request: RequestId,
         /// Where it goes.
         endpoint: EndpointId,
-        /// Give the attempt up after this time; `None`: when the client gives up.
+        /// Give the attempt up after this time; `None`: when the client gives up, as in all sends
+        /// so far.
         timeout: Option<Duration>,
     },
     /// Stop waiting for an attempt.
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -16,7 +16,7 @@
     pub remaining: Duration,
     /// Slots that it takes.
     pub slots: f64,
-    /// Memory that it takes.
+    /// Memory that it takes, in slots' worth: an endpoint has as much memory as it has slots.
     pub memory: f64,
     /// A hint of its work, as time on a standard core.
     pub work_hint: Option<Duration>,
@@ -94,7 +94,7 @@
     /// A request has arrived; one final response is owed for it.
     RequestArrived(IncomingRequest),
     /// An attempt has ended; each send gets exactly one of these.
-    AttemptFinished(AttemptResult),
+    AttemptEnded(AttemptResult),
     /// An attempt in flight has made progress.
     AttemptProgressed(AttemptProgress),
     /// The client has disconnected; nothing is owed any more.
--- a/crates/decisions/src/api/report.rs
+++ b/crates/decisions/src/api/report.rs
@@ -9,7 +9,7 @@
     pub queued: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Free memory, in the unit of a request's memory.
+    /// Free memory, in slots' worth.
     pub free_memory: Option<f64>,
     /// Requests that it completes per second.
     pub requests_per_second: Option<f64>,
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -8,7 +8,7 @@
 pub struct Prices {
     /// For sending one request across zones.
     pub cross_zone: f64,
-    /// For one health check per request.
+    /// For one health check per request. The decisions do not weigh it yet.
     pub health_check: f64,
 }
 
@@ -69,7 +69,8 @@
     /// A connection that is not up within this time has failed, so an attempt may arrive this long
     /// after it was decided.
     pub connect_timeout: Duration,
-    /// A connection idle for this long is closed; zero where that is not known.
+    /// A connection idle for this long is closed; zero where that is not known. For hosts; the
+    /// decisions do not use it.
     pub connection_idle_timeout: Duration,
     /// The shortest time between two calls of the balancer.
     pub timer_resolution: Duration,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -62,7 +62,7 @@
 //!             let latency = Duration::from_millis(30);
 //!             now += latency;
 //!             served += 1;
-//!             Event::AttemptFinished(AttemptResult {
+//!             Event::AttemptEnded(AttemptResult {
 //!                 request,
 //!                 attempt_index: 0,
 //!                 endpoint,
--- a/crates/decisions/src/math.rs
+++ b/crates/decisions/src/math.rs
@@ -5,7 +5,9 @@
 /// 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
 const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Fractional part of the golden ratio.
-const GOLDEN_RATIO: f64 = 0.618_033_988_75;
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_75;
+/// A multiplier of the splitmix64 generator.
+const SPLITMIX_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
 /// Multiplier of the 64-bit FNV hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
@@ -17,7 +19,7 @@
 /// A 53-bit hash of a number, the same on every dispatcher.
 pub(crate) fn hash(value: u64) -> u64 {
     let mixed = (value ^ (value >> 32)).wrapping_mul(FIBONACCI_MULTIPLIER);
-    (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> (64 - FRACTION_BITS)
+    (mixed ^ (mixed >> 29)).wrapping_mul(SPLITMIX_MULTIPLIER) >> (64 - FRACTION_BITS)
 }
 
 /// A 53-bit hash of a text.
@@ -41,7 +43,7 @@
 
 /// Multiples of the golden ratio: their fractions are spread evenly, and neighbours are far apart.
 pub(crate) fn golden_multiple(index: usize) -> f64 {
-    index as f64 * GOLDEN_RATIO
+    index as f64 * GOLDEN_RATIO_FRACTION
 }
 
 /// Weight of a new sample in an exponentially weighted moving average, from the time since the
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -1,19 +1,20 @@
 //! Which requests are queued here, in which order, and which are shed.
 //!
 //! A request that no endpoint would start now is queued, the highest priority weight for a slot's
-//! time first, and shed at the latest start that probably still meets its objective. Where the
-//! queue has a bound, the least valuable request is shed for one more.
+//! time first. It is shed at the latest start that probably still meets its objective or, where its
+//! class has a `max_queue_time`, at the end of that. Where the queue has a bound, the least
+//! valuable request is shed for one more.
 
 use super::Balancer;
-use super::selection::Selection;
+use super::selection::{EndpointQueue, Selection};
 use crate::api::{Action, ClassId, RequestId, Timestamp};
 use crate::state::Request;
 use crate::time::{divide, from_micros_f64, micros_f64};
 
 /// Ticks between the latest start of a request and its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 2;
-/// Half of the stretch beyond this is slack for time in queue: longer waits would raise the learnt
-/// running time, and with it the waits that are allowed.
+/// The objective stretch above this is slack, and the second share of it may be spent in the queue.
+/// More would raise the learnt running time, and with it the allowance.
 const STRETCH_FOR_RUN: f64 = 1.2;
 const SLACK_SHARE: f64 = 0.5;
 
@@ -75,7 +76,7 @@
             let request = &self.state.requests[&id];
             let is_first_attempt = request.attempts.is_empty();
             if !(is_first_attempt && unplaceable.iter().any(|other| other.covers(request))) {
-                match self.try_send(now, id, true, actions) {
+                match self.try_send(now, id, EndpointQueue::Allowed, actions) {
                     Selection::Send(_) => continue,
                     Selection::NoCapacity if is_first_attempt => {
                         unplaceable.push(Unplaceable::of(&self.state.requests[&id]));
--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -1,6 +1,7 @@
 //! What load an endpoint is believed to have, and when it would start a request.
 //!
-//! Capacity is counted in slots, and in memory where a request takes some. What our own attempts
+//! Capacity is counted in slots, and in memory where a request takes some: an endpoint has as much
+//! memory as it has slots. What our own attempts
 //! take is known; what other dispatchers take is believed from load reports, and that belief fades
 //! to the mean of the zone, as an endpoint without news would otherwise look for good as empty, or
 //! as full, as it was then.
@@ -19,6 +20,8 @@
 /// An endpoint known by the mean of its zone alone is full at this mean use: the mean names none
 /// that has capacity.
 const FULL_AT_MEAN_USE: f64 = 0.5;
+/// The share of its objective that a request which queues at an endpoint keeps for its run.
+const OBJECTIVE_FOR_RUN: f64 = 0.5;
 /// A request of several slots may lack less than this many at the endpoint where it queues for
 /// them.
 const MAX_MISSING_SLOTS: f64 = 1.0;
@@ -62,7 +65,7 @@
         // endpoints.
         let never_reported = endpoint.reported_at == Timestamp::ORIGIN
             && !known_by_mean
-            && (!self.can_poll_load() || self.has_no_reports(endpoint));
+            && (!self.can_poll_load() || self.relies_on_health_checks(endpoint));
         // Slow start leaves an endpoint nearly empty.
         if never_reported || self.time_in_slow_start(now, endpoint).is_some() {
             return 0.0;
@@ -85,7 +88,7 @@
 
     /// Whether no endpoint of its kind has reported yet, in a large fleet: until then, health
     /// checks alone decide.
-    pub(super) fn has_no_reports(&self, endpoint: &Endpoint) -> bool {
+    pub(super) fn relies_on_health_checks(&self, endpoint: &Endpoint) -> bool {
         self.is_large_polled_fleet() && self.state.kind_slots[endpoint.kind.0] == 0.0
     }
 
@@ -105,16 +108,14 @@
         let spare_slots = spare_slots
             .min(self.slots_of(endpoint, request) - request.slots)
             .max(0.0);
-        !self.has_overdue_start(now, endpoint)
+        !self.has_late_start(now, endpoint)
             && self.spare_capacity(now, endpoint, request) >= spare_slots - SLOT_TOLERANCE
     }
 
     /// Whether an attempt of ours should have reported its start by now: the endpoint has a queue.
-    fn has_overdue_start(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
+    fn has_late_start(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
         let first = endpoint.unstarted_sends.first();
-        first.is_some_and(|&sent_at| {
-            now > sent_at.max(self.state.resumed_at) + self.prompt_response_time()
-        })
+        first.is_some_and(|&sent_at| now > self.prompt_by(sent_at))
     }
 
     /// Whether an endpoint would start the request from its queue while that still meets the
@@ -130,19 +131,20 @@
         request: &Request,
     ) -> bool {
         // An endpoint without a queue would reject it, and is avoided for a while after that.
-        if endpoint.max_concurrent.is_some() || self.has_overdue_start(now, endpoint) {
+        if endpoint.max_concurrent.is_some() || self.has_late_start(now, endpoint) {
             return false;
         }
         let spare = self.spare_capacity(now, endpoint, request);
-        let is_large =
+        let waits_for_last_slots =
             request.slots > 1.0 && self.state.queue.is_empty() && spare > -MAX_MISSING_SLOTS;
         let slots_unknown = self.state.kind_slots[endpoint.kind.0] == 0.0;
-        if !is_large && !slots_unknown {
+        if !waits_for_last_slots && !slots_unknown {
             return false;
         }
         let wait_us = -spare * self.state.mean_run_us / self.slots_of(endpoint, request);
         let objective_us = micros_f64(self.settings.classes[request.class.0].latency_objective);
-        let latest_start_us = self.latest_start(request).as_micros() as f64 - objective_us / 2.0;
+        let latest_start_us =
+            self.latest_start(request).as_micros() as f64 - OBJECTIVE_FOR_RUN * objective_us;
         now.as_micros() as f64 + wait_us <= latest_start_us
     }
 }
--- a/crates/decisions/src/policy/eligibility.rs
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -40,7 +40,7 @@
             && permission.send_to(endpoint.zone, endpoint.cell).is_ok()
             && self.allows_on_probation(now, endpoint, request)
             && !was_sent_to(request, id)
-            && self.has_slow_start_share(now, endpoint, request)
+            && self.has_slow_start_budget(now, endpoint, request)
     }
 
     fn allows_on_probation(&self, now: Timestamp, endpoint: &Endpoint, request: &Request) -> bool {
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Health checks that each request pays for, and how many may be saved up.
-pub(super) const CHECKS_PER_REQUEST: f64 = 2.0;
+pub(super) const CREDIT_PER_REQUEST: f64 = 2.0;
 pub(super) const MAX_CREDIT: f64 = 8.0;
 /// Silence, in mean running times, after which an endpoint with an attempt of ours in flight is
 /// checked.
@@ -124,7 +124,7 @@
             let endpoint = self.state.endpoint_mut(id);
             let has_attempts = endpoint.own_attempts > 0;
             endpoint.is_monitored =
-                endpoint.is_listed && (has_attempts || endpoint.ejected_until.is_some());
+                endpoint.is_ready() && (has_attempts || endpoint.ejected_until.is_some());
             let stays = endpoint.is_monitored;
             if stays && is_due && !endpoint.health_check_in_flight {
                 self.recheck(now, id, actions);
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -6,6 +6,7 @@
 //! have not are cancelled.
 
 use super::Balancer;
+use super::selection::EndpointQueue;
 use crate::api::{Action, AttemptProgress, Progress, RequestId, Timestamp};
 use crate::state::{Attempt, Request};
 
@@ -66,7 +67,7 @@
             .filter(|(_, request)| needs_hedge(request));
         let ids: Vec<RequestId> = requests.map(|(&id, _)| id).collect();
         for id in ids {
-            self.try_send(now, id, false, actions);
+            self.try_send(now, id, EndpointQueue::Avoided, actions);
         }
     }
 
@@ -74,8 +75,8 @@
         let Some(attempt) = request.only_attempt_in_flight() else {
             return false;
         };
-        let prompt_start = attempt.sent_at.max(self.state.resumed_at) + self.prompt_response_time();
-        let is_late = moves_unstarted && !attempt.has_started && now >= prompt_start;
+        let prompt_start_by = self.prompt_by(attempt.sent_at);
+        let is_late = moves_unstarted && !attempt.has_started && now >= prompt_start_by;
         is_late
             || attempt.is_overdue
             || self
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -17,7 +17,7 @@
 const FLEET_THROUGHPUT_STEP: f64 = 0.05;
 /// Step of the mean use of a zone's endpoints, and the largest use that counts, as a share of the
 /// slots.
-const ZONE_USAGE_STEP: f64 = 0.05;
+const REPORT_STEP: f64 = 0.05;
 const MAX_ZONE_USAGE: f64 = 2.0;
 
 /// How far a report is believed.
@@ -127,7 +127,7 @@
         zone.learn(
             now,
             (reported / slots.max(1.0)).min(MAX_ZONE_USAGE),
-            ZONE_USAGE_STEP,
+            REPORT_STEP,
         );
         let mean = zone.share * slots;
         let believed = trust
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -15,6 +15,7 @@
 //! | [`requests`] | What happens at the arrival and at the end of a request? |
 //! | [`retry`] | When is a request sent again, and when is it given up? |
 //! | [`hedging`] | When does a request get a second attempt beside its first, and which one is cancelled? |
+//! | [`outcomes`] | What does the outcome of an attempt tell about its endpoint and class? |
 //! | [`overdue`] | When is an attempt without a word presumed lost? |
 //! | [`outlier`] | When is an endpoint ejected, on probation or avoided, and when is a zone lost? |
 //! | [`health_checks`] | When is an endpoint checked? |
@@ -30,6 +31,7 @@
 mod health_checks;
 mod hedging;
 mod load_reports;
+mod outcomes;
 mod outlier;
 mod overdue;
 mod preference;
@@ -55,10 +57,11 @@
 const MAX_TICK: Duration = Duration::from_millis(100);
 /// Ticks between two timers while no request is open.
 const IDLE_TICKS: u32 = 4;
-/// The first subscription is spread over this fraction of the poll interval, and a failed one is
-/// repeated after this fraction, doubled with each further failure up to this many times.
-const FIRST_SUBSCRIPTION_FRACTION: u64 = 4;
-const RESUBSCRIPTION_FRACTION: u64 = 8;
+/// The first subscription is drawn from the poll interval divided by this.
+const FIRST_SUBSCRIPTION_DIVISOR: u64 = 4;
+/// A subscription that failed is repeated after the poll interval divided by this ...
+const RESUBSCRIPTION_DIVISOR: u64 = 8;
+/// ... doubled with each further failure, up to this often.
 const MAX_RESUBSCRIPTION_DOUBLINGS: u32 = 2;
 
 /// Decides for one dispatcher. Dispatchers share nothing: each knows what its own events have told
@@ -106,7 +109,7 @@
         match event {
             Event::EndpointList { kind, entries } => self.on_list(now, kind, entries),
             Event::RequestArrived(request) => self.on_request(now, request, actions),
-            Event::AttemptFinished(result) => self.on_attempt_finished(now, result, actions),
+            Event::AttemptEnded(result) => self.on_attempt_ended(now, result, actions),
             Event::AttemptProgressed(progress) => self.on_progress(now, progress, actions),
             Event::ClientDisconnected { request } => self.finish(request, actions),
             Event::DeadlineReached { request } => self.give_up(now, request, actions),
@@ -153,14 +156,14 @@
         }
         self.check_monitored(now, actions);
         self.refresh_reports(now, actions);
-        self.note_late_starts(now);
+        self.note_missed_starts(now);
         self.release_overdue(now);
         self.hedge(now, actions);
         self.serve_queue(now, actions);
     }
 
     fn on_list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry]) {
-        self.schedule_subscription(now, kind);
+        self.on_source_state(now, kind);
         if self.state.last_idempotent_at == Timestamp::ORIGIN {
             self.state.last_idempotent_at = now;
         }
@@ -168,11 +171,13 @@
         self.rebuild_preferences();
     }
 
-    fn schedule_subscription(&mut self, now: Timestamp, kind: ListKind) {
+    /// Only the simulator's host subscribes on these timers. A dispatcher watches discovery from
+    /// its first configuration on, at the pace of its own call schedule.
+    fn on_source_state(&mut self, now: Timestamp, kind: ListKind) {
         let interval = self.settings.max_poll_interval;
         match kind {
             ListKind::Bootstrap if self.settings.polls_discovery => {
-                let latest = whole_micros(divide(interval, FIRST_SUBSCRIPTION_FRACTION));
+                let latest = whole_micros(divide(interval, FIRST_SUBSCRIPTION_DIVISOR));
                 self.state.subscribe_at = Some(now + self.random_duration(0..=latest));
             }
             ListKind::SourceLost => {
@@ -180,7 +185,7 @@
                     .state
                     .subscribe_failures
                     .min(MAX_RESUBSCRIPTION_DOUBLINGS);
-                let backoff = whole_micros(divide(interval, RESUBSCRIPTION_FRACTION)) << doublings;
+                let backoff = whole_micros(divide(interval, RESUBSCRIPTION_DIVISOR)) << doublings;
                 self.state.subscribe_failures += 1;
                 let jitter = self.random_duration(0..=backoff);
                 self.state.subscribe_at = Some(now + Duration::from_micros(backoff / 2) + jitter);
@@ -201,6 +206,12 @@
         2 * self.settings.timer_resolution + from_micros_f64(2.0 * self.state.health_check_us)
     }
 
+    /// When an idle endpoint has answered what was sent at this time: a health check with its
+    /// report, a request with its start. Time during a stall of ours does not count.
+    fn prompt_by(&self, sent_at: Timestamp) -> Timestamp {
+        sent_at.max(self.state.resumed_at) + self.prompt_response_time()
+    }
+
     fn tick_interval(&self) -> Duration {
         let objectives = self
             .settings
--- /dev/null
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -0,0 +1,85 @@
+//! What the outcome of an attempt tells about its endpoint and its class.
+//!
+//! A response shows that the endpoint lives, and whether it answers with errors; a rejection closes
+//! it for a while; a failed connection makes it suspected. A request that was served tells the
+//! running time of its class.
+
+use super::Balancer;
+use crate::api::{Action, AttemptResult, EndpointId, Outcome, Timestamp};
+use crate::state::{Attempt, LEARNING_RATE};
+use crate::time::micros_f64;
+use std::time::Duration;
+
+/// An endpoint that rejected a request gets no other for this long.
+pub(super) const REJECTION_BACKOFF: Duration = Duration::from_secs(1);
+/// Step of an endpoint's error rate with each response.
+const ERROR_RATE_STEP: f64 = 0.2;
+
+impl Balancer {
+    pub(super) fn note_response(&mut self, now: Timestamp, result: &AttemptResult) {
+        if !matches!(
+            result.outcome,
+            Outcome::Success | Outcome::Error | Outcome::Rejected
+        ) {
+            return;
+        }
+        self.note_alive(now, result.endpoint);
+        let is_error = f64::from(u8::from(result.outcome == Outcome::Error));
+        let error_rate = &mut self.state.endpoint_mut(result.endpoint).error_rate;
+        *error_rate += ERROR_RATE_STEP * (is_error - *error_rate);
+    }
+
+    pub(super) fn learn_from_outcome(
+        &mut self,
+        now: Timestamp,
+        result: &AttemptResult,
+        attempt: &Attempt,
+        actions: &mut Vec<Action>,
+    ) {
+        match result.outcome {
+            Outcome::Success => self.learn_running_time(now, result, attempt),
+            Outcome::Rejected => {
+                self.state.endpoint_mut(result.endpoint).rejects_until = now + REJECTION_BACKOFF;
+            }
+            Outcome::ConnectFailed | Outcome::Reset => self.suspect(now, result.endpoint, actions),
+            Outcome::Cancelled if !attempt.has_started => {
+                let prompt_start_by = self.prompt_by(attempt.sent_at);
+                if now > prompt_start_by {
+                    self.note_cancelled_in_queue(now, result.endpoint);
+                }
+            }
+            Outcome::Error | Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    fn learn_running_time(&mut self, now: Timestamp, result: &AttemptResult, attempt: &Attempt) {
+        let request = &self.state.requests[&result.request];
+        let class = request.class.0;
+        let expected_us = self.expected_run_us(request).max(1.0);
+        let run = if attempt.has_started {
+            now.saturating_duration_since(attempt.started_at)
+        } else {
+            result.latency
+        };
+        // A ratio to a running time that was only guessed says nothing about the kind.
+        if self.state.classes[class].served > 0 {
+            let kind = self.state.endpoint(result.endpoint).kind;
+            let ratio = &mut self.state.kind_run_ratio[kind.0];
+            *ratio += LEARNING_RATE * (micros_f64(run) / expected_us - *ratio);
+        }
+        let has_max_queue_time = self.settings.classes[class].max_queue_time.is_some();
+        self.state
+            .learn_run(now, class, micros_f64(result.latency), has_max_queue_time);
+    }
+
+    /// An endpoint has made progress with a request or ended it.
+    pub(super) fn note_alive(&mut self, now: Timestamp, id: EndpointId) {
+        let endpoint = self.state.endpoint_mut(id);
+        endpoint.last_heard_at = now;
+        endpoint.last_response_at = now;
+        endpoint.last_used_at = now;
+        endpoint.on_probation = false;
+        endpoint.ejections = 0;
+        endpoint.ejected_until = None;
+    }
+}
--- a/crates/decisions/src/policy/outlier.rs
+++ b/crates/decisions/src/policy/outlier.rs
@@ -1,13 +1,14 @@
 //! When an endpoint is ejected, on probation or avoided, and when a zone is lost.
 //!
-//! - An endpoint whose connection failed is suspected: it gets nothing until a health check has
-//!   told. One whose health check failed is ejected for a back-off that doubles with each ejection
-//!   in a row.
-//! - A health check that succeeds brings it back, on probation: one request at a time until it
-//!   responds.
+//! - An endpoint whose connection failed is suspected: it gets nothing until a health check ends.
+//! - One whose health check failed is ejected for a back-off that doubles with each ejection in a
+//!   row, and checked again after it.
+//! - A health check that succeeds brings a suspected endpoint back as it was, and an ejected one on
+//!   probation: one request at a time until it responds. So does progress of an attempt there.
 //! - An endpoint that completes far less than the mean one for the same utilization is slow, and
-//!   one that answers with errors far more often than the others is failing; both are avoided, not
-//!   ejected.
+//!   comes last where dispatchers outnumber endpoints.
+//! - One that answers with errors far more often than the others is failing, and gets one request
+//!   at a time, as on probation.
 //! - A zone is lost when several of its endpoints are ejected and none has been heard of since.
 
 use super::Balancer;
@@ -53,7 +54,7 @@
             self.state
                 .endpoints
                 .iter()
-                .filter(|endpoint| endpoint.is_listed)
+                .filter(|endpoint| endpoint.is_ready())
         };
         let sum: f64 = listed().map(|endpoint| endpoint.error_rate).sum();
         let mean_of_others = (sum - endpoint.error_rate) / (listed().count() as f64 - 1.0);
@@ -66,7 +67,7 @@
             self.state
                 .endpoints
                 .iter()
-                .filter(|endpoint| endpoint.is_listed && endpoint.zone == zone)
+                .filter(|endpoint| endpoint.is_ready() && endpoint.zone == zone)
         };
         let last_heard_at = members()
             .map(|endpoint| endpoint.last_heard_at)
@@ -89,9 +90,9 @@
         }
         self.state.endpoint_mut(id).ejected_until = Some(now);
         self.state.monitor(id);
-        // An endpoint that has left the list is not checked any more.
+        // An endpoint that is draining or gone is not checked any more.
         let endpoint = self.state.endpoint(id);
-        if endpoint.is_listed && !endpoint.health_check_in_flight {
+        if endpoint.is_ready() && !endpoint.health_check_in_flight {
             self.check_health(now, id, actions);
         }
     }
--- a/crates/decisions/src/policy/preference.rs
+++ b/crates/decisions/src/policy/preference.rs
@@ -29,7 +29,8 @@
 const SLOW_KIND_MULTIPLE: f64 = 1.1;
 /// Requests with one affinity key stay with one in this many endpoints, and with at least the
 /// second number.
-const AFFINITY_FRACTION: usize = 4;
+const AFFINITY_DIVISOR: usize = 4;
+/// ... and with at least this many.
 const MIN_AFFINITY_ENDPOINTS: usize = 4;
 /// A request waits for these endpoints for this share of its objective before any other may serve
 /// it.
@@ -47,7 +48,7 @@
 #[derive(Default)]
 pub(super) struct PreferenceOrder {
     candidates: Vec<Candidate>,
-    /// The first of them, in the home zone.
+    /// How many of the first candidates are in the home zone.
     home_count: usize,
 }
 
@@ -61,6 +62,15 @@
     }
 }
 
+/// Ranks of endpoints in the order of one request in a large fleet, the best first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum Rank {
+    SlowStart,
+    Usual,
+    Slow,
+    LostZone,
+}
+
 /// Sums over the listed endpoints of a kind.
 #[derive(Clone, Copy, Default)]
 struct KindTotals {
@@ -74,7 +84,7 @@
     pub(super) fn rebuild_preferences(&mut self) {
         let by_name = self.state.by_name.iter().copied();
         let listed: Vec<_> = by_name
-            .filter(|&id| self.state.endpoint(id).is_listed)
+            .filter(|&id| self.state.endpoint(id).is_ready())
             .collect();
         let totals = self.kind_totals(&listed);
         let size: f64 = totals.iter().map(|kind| kind.size).sum();
@@ -86,11 +96,12 @@
             .map(|class| class.objective_stretch)
             .fold(f64::MAX, f64::min)
             .max(1.0);
-        let is_slow = |kind: KindId| {
+        // With one unknown size the sums are not a number, and no kind counts as slow.
+        let is_slow_kind = |kind: KindId| {
             let KindTotals { size, slots } = totals[kind.0];
             size / slots * smallest_stretch < SLOW_KIND_MULTIPLE * mean_size_per_slot
         };
-        let order = |class| self.preference_order(class, &listed, &is_slow);
+        let order = |class| self.preference_order(class, &listed, &is_slow_kind);
         self.preferences = classes.iter().map(order).collect();
     }
 
@@ -112,7 +123,7 @@
         &self,
         class: &Class,
         listed: &[EndpointId],
-        is_slow: &impl Fn(KindId) -> bool,
+        is_slow_kind: &impl Fn(KindId) -> bool,
     ) -> PreferenceOrder {
         let classes = &self.settings.classes;
         let is_needed = |kind| {
@@ -122,7 +133,7 @@
                 .any(|kinds| kinds.contains(&kind))
         };
         let block_of_kind = |kind: KindId| {
-            if is_slow(kind) {
+            if is_slow_kind(kind) {
                 SLOW_KINDS
             } else if class.allowed_kinds.is_none() && is_needed(kind) {
                 NEEDED_KINDS
@@ -224,13 +235,13 @@
         candidates.sort_by_cached_key(|candidate| {
             let endpoint = self.state.endpoint(candidate.endpoint);
             let rank = if home_is_lost && Some(endpoint.zone) == self.settings.home_zone {
-                3
+                Rank::LostZone
             } else if polled && self.time_in_slow_start(now, endpoint).is_some() {
-                0
+                Rank::SlowStart
             } else if self.is_slow(endpoint) {
-                2
+                Rank::Slow
             } else {
-                1
+                Rank::Usual
             };
             (rank, candidate.block, affinity(endpoint))
         });
@@ -256,7 +267,7 @@
         };
         let objective_us = micros_f64(self.settings.classes[request.class.0].latency_objective);
         let waited_us = now.micros_since(request.started_at) as f64;
-        let count = (candidates.len() / AFFINITY_FRACTION).max(MIN_AFFINITY_ENDPOINTS);
+        let count = (candidates.len() / AFFINITY_DIVISOR).max(MIN_AFFINITY_ENDPOINTS);
         if waited_us < objective_us * AFFINITY_WAIT && count < candidates.len() {
             let distance = |candidate: &Candidate| {
                 hash(key ^ self.state.endpoint(candidate.endpoint).name_hash)
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -1,8 +1,8 @@
 //! What happens at the arrival and at the end of a request.
 
 use super::Balancer;
-use super::health_checks::{CHECKS_PER_REQUEST, MAX_CREDIT};
-use super::selection::Selection;
+use super::health_checks::{CREDIT_PER_REQUEST, MAX_CREDIT};
+use super::selection::{EndpointQueue, Selection};
 use crate::api::{Action, Idempotency, IncomingRequest, RequestId, Timestamp};
 use crate::state::{LEARNING_RATE, Request};
 
@@ -22,7 +22,10 @@
         self.note_arrival(now, &incoming);
         let request = self.open(now, incoming);
         self.state.requests.insert(id, request);
-        if !matches!(self.try_send(now, id, false, actions), Selection::Send(_)) {
+        if !matches!(
+            self.try_send(now, id, EndpointQueue::Avoided, actions),
+            Selection::Send(_)
+        ) {
             self.enqueue(now, id, actions);
         }
     }
@@ -35,7 +38,7 @@
         state.request_gap_us += REQUEST_GAP_STEP * (gap_us - state.request_gap_us);
         state.last_request_at = now;
         state.health_check_credit =
-            (state.health_check_credit + CHECKS_PER_REQUEST).min(MAX_CREDIT);
+            (state.health_check_credit + CREDIT_PER_REQUEST).min(MAX_CREDIT);
         if self.settings.classes[incoming.class.0].idempotency == Idempotency::Idempotent {
             state.last_idempotent_at = now;
         }
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -20,13 +20,21 @@
 /// Health checks sent for one request before it is sent on belief alone.
 const MAX_CHECKS_PER_REQUEST: u32 = 4;
 /// Reports that change within this share of a mean running time describe the present.
-const CURRENT_REPORTS: f64 = 0.33;
+const CURRENT_REPORT_RUNS: f64 = 0.33;
 /// News of an endpoint is recent for this share of a mean running time.
-const RECENT_NEWS: f64 = 0.25;
+const RECENT_NEWS_RUNS: f64 = 0.25;
 /// The price of crossing zones is the share of its objective that a request waits for the home
 /// zone, up to this.
 const MAX_HOME_ZONE_WAIT: f64 = 0.5;
 
+/// Whether a request may be sent to an endpoint where it would queue.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum EndpointQueue {
+    /// Where that still meets its objective.
+    Allowed,
+    Avoided,
+}
+
 /// Where a request goes.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Selection {
@@ -58,7 +66,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        may_queue_at_endpoint: bool,
+        endpoint_queue: EndpointQueue,
         actions: &mut Vec<Action>,
     ) -> Selection {
         let request = &self.state.requests[&id];
@@ -66,7 +74,7 @@
         if permission.send.is_err() || now >= request.deadline {
             return Selection::Wait;
         }
-        let selection = self.select(now, request, &permission, may_queue_at_endpoint);
+        let selection = self.select(now, request, &permission, endpoint_queue);
         match selection {
             Selection::CheckFirst(endpoint) => self.check_for_request(now, id, endpoint, actions),
             Selection::Send(endpoint) => self.send(now, id, endpoint, actions),
@@ -84,7 +92,7 @@
     ) {
         let reports_start = self.settings.reports_start;
         self.state.awaits_start |= reports_start;
-        self.spend_slow_start_share(now, endpoint, id);
+        self.spend_slow_start_budget(now, endpoint, id);
         let idle = self.state.start_attempt(now, id, endpoint, reports_start);
         // The endpoint, or something on the way, may have dropped a connection that was idle for as
         // long.
@@ -105,7 +113,7 @@
         now: Timestamp,
         request: &Request,
         permission: &Permission,
-        may_queue_at_endpoint: bool,
+        endpoint_queue: EndpointQueue,
     ) -> Selection {
         let is_large_polled_fleet = self.is_large_polled_fleet();
         let home_is_lost = is_large_polled_fleet
@@ -118,9 +126,10 @@
             now,
             request,
             permission,
-            recent_since: now.saturating_sub(from_micros_f64(RECENT_NEWS * self.state.mean_run_us)),
+            recent_since: now
+                .saturating_sub(from_micros_f64(RECENT_NEWS_RUNS * self.state.mean_run_us)),
             reports_are_current: self.can_poll_load()
-                && self.state.report_interval_us < CURRENT_REPORTS * self.state.mean_run_us,
+                && self.state.report_interval_us < CURRENT_REPORT_RUNS * self.state.mean_run_us,
         };
         let candidates = self.candidates_for(now, request, across_zones, home_is_lost);
         let rounds: &[f64] = if is_large_polled_fleet {
@@ -136,7 +145,8 @@
                 return selection;
             }
         }
-        if may_queue_at_endpoint && across_zones && !is_large_polled_fleet {
+        let may_queue = endpoint_queue == EndpointQueue::Allowed;
+        if may_queue && across_zones && !is_large_polled_fleet {
             return self.select_by_queue(&search);
         }
         Selection::NoCapacity
@@ -160,16 +170,15 @@
         if !would_start && !is_unknown || !self.is_eligible(now, id, request, search.permission) {
             return None;
         }
-        let was_checked = self.has_no_reports(endpoint)
+        let check_is_recent = self.relies_on_health_checks(endpoint)
             && endpoint.health_checked_at >= search.recent_since
             && !endpoint.health_check_in_flight;
-        let has_recent_news = endpoint.reported_at >= search.recent_since || was_checked;
+        let has_recent_news = endpoint.reported_at >= search.recent_since || check_is_recent;
         if would_start && (has_recent_news || !self.can_poll_load()) {
             return Some(Selection::Send(id));
         }
         if endpoint.health_check_in_flight {
-            let response_due =
-                endpoint.health_checked_at.max(self.state.resumed_at) + self.prompt_response_time();
+            let response_due = self.prompt_by(endpoint.health_checked_at);
             return (now <= response_due).then_some(Selection::Wait);
         }
         if request.health_checks < MAX_CHECKS_PER_REQUEST && self.state.health_check_credit >= 1.0 {
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -26,7 +26,7 @@
 impl Balancer {
     /// Whether this dispatcher's share of an endpoint in slow start allows the request; true for
     /// any other endpoint.
-    pub(super) fn has_slow_start_share(
+    pub(super) fn has_slow_start_budget(
         &self,
         now: Timestamp,
         endpoint: &Endpoint,
@@ -56,17 +56,12 @@
             return false;
         }
         let turn = self.slow_start_turn(age);
-        let spent = if endpoint.slow_start_turn == turn {
-            endpoint.slow_start_spent
-        } else {
-            0.0
-        };
-        spent + cost <= self.own_grants(endpoint, turn, grants) * grant
+        endpoint.slow_start_spent_in(turn) + cost <= self.own_grants(endpoint, turn, grants) * grant
     }
 
     /// Records what a request takes of our share, before it is sent to an endpoint that may be in
     /// slow start.
-    pub(super) fn spend_slow_start_share(
+    pub(super) fn spend_slow_start_budget(
         &mut self,
         now: Timestamp,
         id: EndpointId,
@@ -79,12 +74,7 @@
         let cost = self.slow_start_cost(endpoint, &self.state.requests[&request]);
         let turn = self.slow_start_turn(age);
         let endpoint = self.state.endpoint_mut(id);
-        let spent = if endpoint.slow_start_turn == turn {
-            endpoint.slow_start_spent
-        } else {
-            0.0
-        };
-        endpoint.slow_start_spent = spent + cost;
+        endpoint.slow_start_spent = endpoint.slow_start_spent_in(turn) + cost;
         endpoint.slow_start_turn = turn;
     }
 
--- a/crates/decisions/src/policy/start_signals.rs
+++ b/crates/decisions/src/policy/start_signals.rs
@@ -5,18 +5,18 @@
 //! go on sending requests into it.
 
 use super::Balancer;
-use super::retry::REJECTION_BACKOFF;
+use super::outcomes::REJECTION_BACKOFF;
 use crate::api::{EndpointId, RequestId, Timestamp};
 use crate::time::whole_micros;
 
-/// Where dispatchers outnumber endpoints, an endpoint that kept a request in its queue is avoided
-/// as after a rejection; for twice as long with each further one in a row, up to this often.
-const MAX_LATE_START_DOUBLINGS: u32 = 2;
-/// The zone usage that a prompt start shows at most, and a late one at least; and the step towards
-/// it.
+/// The back-off from an endpoint that kept a request in its queue is doubled this often at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
+/// The zone usage that a prompt start shows at most.
 const USAGE_AT_PROMPT_START: f64 = 0.3;
+/// The zone usage that a late start shows at least.
 const USAGE_AT_LATE_START: f64 = 1.5;
-const ZONE_USAGE_STEP: f64 = 0.2;
+/// The step of the zone usage towards either.
+const START_SIGNAL_STEP: f64 = 0.2;
 
 impl Balancer {
     /// An attempt has reported its start.
@@ -41,14 +41,18 @@
         let left_by_us = self.slots_of(endpoint, request) - endpoint.own_slots;
         let sent_at = attempt.sent_at;
         let is_prompt = now <= sent_at + self.prompt_response_time();
-        if is_prompt && !attempt.start_is_late && self.is_known_by_mean(endpoint) {
+        if is_prompt && !attempt.start_was_missed && self.is_known_by_mean(endpoint) {
             let zone = &mut self.state.zone_usage[attempt.zone.0];
-            zone.learn(now, zone.share.min(USAGE_AT_PROMPT_START), ZONE_USAGE_STEP);
+            zone.learn(
+                now,
+                zone.share.min(USAGE_AT_PROMPT_START),
+                START_SIGNAL_STEP,
+            );
         }
         let endpoint = self.state.endpoint_mut(id);
         endpoint.unstarted_sends.retain(|&at| at != sent_at);
         if is_prompt {
-            endpoint.late_starts = 0;
+            endpoint.queue_cancellations = 0;
             endpoint.others_slots = endpoint.others_slots.min(left_by_us.max(0.0));
         } else {
             endpoint.others_slots = endpoint.others_slots.max(left_by_us + slots);
@@ -57,16 +61,16 @@
 
     /// Where load cannot be polled, a burst would fill the queues of all endpoints before the first
     /// response, and with it a report, tells of it. Starts that are late tell at once.
-    pub(super) fn note_late_starts(&mut self, now: Timestamp) {
+    pub(super) fn note_missed_starts(&mut self, now: Timestamp) {
         if !self.settings.reports_start || !self.is_large_unpolled_fleet() {
             return;
         }
         for zone in self
             .state
-            .mark_late_starts(now, self.prompt_response_time())
+            .mark_missed_starts(now, self.prompt_response_time())
         {
             let zone = &mut self.state.zone_usage[zone.0];
-            zone.learn(now, zone.share.max(USAGE_AT_LATE_START), ZONE_USAGE_STEP);
+            zone.learn(now, zone.share.max(USAGE_AT_LATE_START), START_SIGNAL_STEP);
         }
     }
 
@@ -82,12 +86,12 @@
         let doublings = self
             .state
             .endpoint(id)
-            .late_starts
-            .min(MAX_LATE_START_DOUBLINGS);
+            .queue_cancellations
+            .min(MAX_BACKOFF_DOUBLINGS);
         let backoff_us = whole_micros(REJECTION_BACKOFF) << doublings;
         let jittered = self.random_duration(backoff_us * 3 / 4..=backoff_us * 5 / 4);
         let endpoint = self.state.endpoint_mut(id);
-        endpoint.late_starts += 1;
+        endpoint.queue_cancellations += 1;
         endpoint.rejects_until = endpoint.rejects_until.max(now + jittered);
     }
 }
--- a/crates/decisions/src/rules/attempts.rs
+++ b/crates/decisions/src/rules/attempts.rs
@@ -93,7 +93,7 @@
     let max_in_flight = 1 + usize::from(settings.hedging);
     let exhausted = count >= settings.max_attempts || in_flight >= max_in_flight;
     let another = if exhausted {
-        Err(Denial::AttemptsExhausted)
+        Err(Denial::NoFurtherAttempt)
     } else {
         Ok(None)
     };
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -75,8 +75,9 @@
 
 /// The lease on the list of one source.
 ///
-/// A list is used only while it is confirmed. The list in a configuration is not: its age is
-/// unknown, and a new process counts as notified of every change from its first moment.
+/// A list is used only while it is confirmed. The list in a configuration is not, unless there is
+/// no discovery service that could: its age is unknown, and a new process counts as notified of
+/// every change from its first moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
     /// `None`: the source is present for as long as it lists anything, and its list does not
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -26,7 +26,7 @@
     DeadlinePassed,
     /// The settings allow no further attempt, or none beside the one in flight.
     #[error("no further attempt is allowed")]
-    AttemptsExhausted,
+    NoFurtherAttempt,
     /// An earlier attempt may have run, and the class allows no repeat, here or by now.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -347,6 +347,7 @@
             match name {
                 "active" | "inflight" => report.in_flight = Some(value),
                 "waiting" | "queue" => report.queued = Some(value),
+                // The first and the second resource of a request: slots and memory.
                 "x0" => report.free_slots = Some(value),
                 "x1" => report.free_memory = Some(value),
                 "rps" | "qps" => report.requests_per_second = Some(value),
--- a/crates/decisions/src/state/endpoint.rs
+++ b/crates/decisions/src/state/endpoint.rs
@@ -22,8 +22,6 @@
     pub(crate) cell: Option<u64>,
     pub(crate) relative_size: f64,
     pub(crate) state: EndpointState,
-    /// Listed as ready.
-    pub(crate) is_listed: bool,
     pub(crate) starts_warm: bool,
     pub(crate) max_concurrent: Option<u32>,
     /// When its process last started, as the list says.
@@ -56,12 +54,12 @@
     pub(crate) reported_at: Timestamp,
     pub(crate) throughput: Throughput,
 
-    /// It rejects requests for lack of capacity until then.
+    /// It gets no request until then, as it rejected one for lack of capacity.
     pub(crate) rejects_until: Timestamp,
     /// Share of its responses that were errors, recent ones weighted most.
     pub(crate) error_rate: f64,
-    /// Attempts in a row that did not start at once although it seemed to have capacity.
-    pub(crate) late_starts: u32,
+    /// Attempts in a row that were cancelled in its queue, although it seemed to have capacity.
+    pub(crate) queue_cancellations: u32,
 
     /// When it last said anything.
     pub(crate) last_heard_at: Timestamp,
@@ -70,7 +68,8 @@
     /// When a connection to it was last used.
     pub(crate) last_used_at: Timestamp,
 
-    /// Ejected until then, when a health check may bring it back.
+    /// It gets nothing until a health check, or progress of an attempt, brings it back. Ejected: it
+    /// is checked again from then on. Suspected, with no `ejections`: the time of the suspicion.
     pub(crate) ejected_until: Option<Timestamp>,
     /// Ejections since it last responded.
     pub(crate) ejections: u32,
@@ -131,6 +130,20 @@
         self.update_own_mean(now);
     }
 
+    /// Accepts requests, as the list says.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.state == EndpointState::Ready
+    }
+
+    /// The work sent to it in a slow-start turn, in slot-microseconds.
+    pub(crate) fn slow_start_spent_in(&self, turn: u64) -> f64 {
+        if self.slow_start_turn == turn {
+            self.slow_start_spent
+        } else {
+            0.0
+        }
+    }
+
     /// An attempt is sent: reserves what it takes.
     pub(super) fn reserve(&mut self, now: Timestamp, slots: f64, memory: f64) {
         self.update_own_mean(now);
--- a/crates/decisions/src/state/estimates.rs
+++ b/crates/decisions/src/state/estimates.rs
@@ -18,9 +18,12 @@
 const FAR_MORE_FREE: f64 = 1.4;
 const FAR_MORE_STEP: f64 = 0.3;
 
+const MICROS_PER_SECOND: f64 = 1e6;
+
 /// What is learnt of a class.
 pub(crate) struct ClassEstimate {
-    /// Running time, in microseconds; a guess until a request was served.
+    /// Running time as seen from here, from the send to the response and with the queue of the
+    /// endpoint, in microseconds; a guess until a request was served.
     pub(crate) run_us: f64,
     /// Requests served.
     pub(crate) served: u32,
@@ -108,8 +111,8 @@
     /// Counts one request, and returns the rate with it.
     pub(crate) fn count(&mut self, now: Timestamp, time_constant_us: f64) -> f64 {
         let elapsed_us = now.micros_since(self.updated_at) as f64;
-        self.per_second =
-            self.per_second * decay(elapsed_us, time_constant_us) + 1e6 / time_constant_us;
+        self.per_second = self.per_second * decay(elapsed_us, time_constant_us)
+            + MICROS_PER_SECOND / time_constant_us;
         self.updated_at = now;
         self.per_second
     }
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -89,7 +89,7 @@
     /// A state that knows no endpoint yet, with this many health checks saved up.
     pub(crate) fn new(settings: &Settings, health_check_credit: f64) -> BalancerState {
         let classes: Vec<_> = settings.classes.iter().map(ClassEstimate::new).collect();
-        let unused = ZoneUsage {
+        let initial_usage = ZoneUsage {
             share: INITIAL_ZONE_USAGE,
             updated_at: Timestamp::ORIGIN,
         };
@@ -122,7 +122,7 @@
             refresh_credit: 0.0,
             refresh_credited_at: None,
             report_interval_us: 0.0,
-            zone_usage: vec![unused; settings.zone_count.max(1)],
+            zone_usage: vec![initial_usage; settings.zone_count.max(1)],
             fleet_throughput: Throughput::default(),
         }
     }
@@ -179,7 +179,7 @@
 
     /// Marks the attempts whose start is overdue by now, and returns the zone of each; an attempt
     /// is returned once.
-    pub(crate) fn mark_late_starts(&mut self, now: Timestamp, prompt: Duration) -> Vec<ZoneId> {
+    pub(crate) fn mark_missed_starts(&mut self, now: Timestamp, prompt: Duration) -> Vec<ZoneId> {
         let resumed_at = self.resumed_at;
         let mut zones = Vec::new();
         for attempt in self
@@ -188,9 +188,9 @@
             .flat_map(|request| &mut request.attempts)
         {
             let unstarted =
-                attempt.is_in_flight() && !attempt.has_started && !attempt.start_is_late;
+                attempt.is_in_flight() && !attempt.has_started && !attempt.start_was_missed;
             if unstarted && now > attempt.sent_at.max(resumed_at) + prompt {
-                attempt.start_is_late = true;
+                attempt.start_was_missed = true;
                 zones.push(attempt.zone);
             }
         }
@@ -213,7 +213,6 @@
     pub(crate) fn apply_list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Bootstrap) {
             for endpoint in &mut self.endpoints {
-                endpoint.is_listed = false;
                 endpoint.state = EndpointState::Gone;
             }
         }
@@ -259,7 +258,6 @@
         endpoint.relative_size = entry.relative_size;
         endpoint.starts_warm = entry.starts_warm;
         endpoint.max_concurrent = entry.max_concurrent;
-        endpoint.is_listed = entry.state == EndpointState::Ready;
         is_renamed
     }
 
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -56,8 +56,8 @@
     pub(crate) last_heard_at: Timestamp,
     /// It was silent for so long that its slots were released.
     pub(crate) is_overdue: bool,
-    /// Its start was reported late, or is still missing though it should have been reported.
-    pub(crate) start_is_late: bool,
+    /// Its start was not reported when it should have been.
+    pub(crate) start_was_missed: bool,
     /// How long the connections to its endpoint had been idle when it was sent.
     pub(crate) connection_idle: Duration,
 }
@@ -79,7 +79,7 @@
             started_at: now,
             last_heard_at: now,
             is_overdue: false,
-            start_is_late: false,
+            start_was_missed: false,
             connection_idle,
         }
     }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -219,7 +219,7 @@
         endpoint: u32,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.handle(Event::AttemptFinished(AttemptResult {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt_index,
             endpoint: EndpointId(endpoint),
@@ -237,7 +237,7 @@
         endpoint: u32,
         latency: Duration,
     ) -> Vec<Action> {
-        self.handle(Event::AttemptFinished(AttemptResult {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt_index: 0,
             endpoint: EndpointId(endpoint),
--- a/crates/decisions/tests/random_events/main.rs
+++ b/crates/decisions/tests/random_events/main.rs
@@ -144,7 +144,7 @@
                 ..LoadReport::default()
             }),
         };
-        self.handle(Event::AttemptFinished(result));
+        self.handle(Event::AttemptEnded(result));
     }
 
     fn endpoint_changes(&mut self) {
--- a/crates/net/src/event_loop/effects.rs
+++ b/crates/net/src/event_loop/effects.rs
@@ -56,6 +56,7 @@
                 write_by,
             } => {
                 let class_name = self.class_name(class);
+                // The only line that ties an attempt to its request and its endpoint.
                 debug!(
                     request_id = job.id,
                     attempt = attempt.0,
@@ -102,7 +103,7 @@
                 check,
                 address,
             } => self.check_health(endpoint, check, address),
-            Effect::CloseIdleConnections { endpoint } => self.upstreams.remove(endpoint),
+            Effect::CloseIdleConnections { endpoint } => self.upstreams.close_idle(endpoint),
             Effect::WatchDiscovery {
                 address,
                 list_version,
@@ -129,7 +130,7 @@
         options: AttemptOptions,
     ) {
         // An endpoint must not be blamed for a connection that there was no descriptor for.
-        if self.attempts.len() >= self.upstreams.max_sockets() || !self.free_socket() {
+        if self.attempts.len() >= self.upstreams.max_sockets() || !self.ensure_free_socket() {
             let max_sockets = self.upstreams.max_sockets();
             warn!(
                 request_id = job.id,
@@ -219,7 +220,7 @@
                 return self.events.send(ended(outcome, report));
             }
         };
-        if !self.free_socket() {
+        if !self.ensure_free_socket() {
             return self.events.send(ended(Outcome::NotSent, None));
         }
         let client = self.upstreams.client(self.clock.now(), endpoint, &address);
@@ -236,13 +237,13 @@
         });
     }
 
-    fn free_socket(&mut self) -> bool {
+    fn ensure_free_socket(&mut self) -> bool {
         let busy: HashSet<EndpointId> = self
             .attempts
             .values()
             .map(|attempt| attempt.endpoint)
             .collect();
-        self.upstreams.free_socket(&busy)
+        self.upstreams.ensure_free_socket(&busy)
     }
 
     fn watch_discovery(&mut self, address: String, list_version: Option<u64>) {
--- a/crates/net/src/event_loop/upstreams.rs
+++ b/crates/net/src/event_loop/upstreams.rs
@@ -10,7 +10,7 @@
 
 /// Where no socket is left, idle connections are closed to this part of the endpoints that have
 /// any, at a time.
-const FREED_PART: usize = 4;
+const FREED_DIVISOR: usize = 4;
 
 /// The clients of all endpoints.
 pub(super) struct Upstreams {
@@ -79,14 +79,14 @@
     }
 
     /// Closes the idle connections to an endpoint.
-    pub(super) fn remove(&mut self, endpoint: EndpointId) {
+    pub(super) fn close_idle(&mut self, endpoint: EndpointId) {
         self.clients.remove(&endpoint);
     }
 
     /// Sees to it that a socket is free, or is about to be: of the endpoints without an attempt in
     /// flight, those that were not used for longest lose their idle connections. Returns whether
     /// one is.
-    pub(super) fn free_socket(&mut self, busy: &HashSet<EndpointId>) -> bool {
+    pub(super) fn ensure_free_socket(&mut self, busy: &HashSet<EndpointId>) -> bool {
         if self.sockets.available_permits() > 0 {
             return true;
         }
@@ -98,7 +98,7 @@
             .map(|(&endpoint, pooled)| (pooled.last_used_at, endpoint))
             .collect();
         idle.sort_unstable();
-        for (_, endpoint) in idle.iter().take(idle.len().div_ceil(FREED_PART)) {
+        for (_, endpoint) in idle.iter().take(idle.len().div_ceil(FREED_DIVISOR)) {
             self.clients.remove(endpoint);
         }
         !idle.is_empty()
--- a/crates/test-support/benches/decision.rs
+++ b/crates/test-support/benches/decision.rs
@@ -120,7 +120,7 @@
                             request_done,
                             report,
                         };
-                        play.event(Event::AttemptFinished(over));
+                        play.event(Event::AttemptEnded(over));
                         break;
                     }
                     let Some(endpoint) = probe else { break };
