--- /dev/null
+++ b/crates/net/src/upstream/failure.rs
@@ -0,0 +1,45 @@
+//! What a request proves that failed before its response.
+//!
+//! The job never ran if there was no connection, if hyper returned the request unwritten, or if its
+//! connection took not a byte of it. In all other cases it may have run.
+
+use super::attempt::AttemptConnection;
+use hyper_util::client::legacy;
+use pumiceway_core::AttemptOutcome;
+use std::error::Error;
+use std::iter;
+
+/// The outcome of an attempt whose request failed before its response.
+pub(super) fn outcome(error: &legacy::Error, connection: &AttemptConnection) -> AttemptOutcome {
+    let never_ran = error.is_connect()
+        || !connection.is_connected()
+        || connection.close_if_unwritten()
+        || sources(error).any(is_returned_unwritten);
+    if connection.is_late() {
+        // This process stalled: that proves nothing about the endpoint.
+        AttemptOutcome::NotSent
+    } else if never_ran {
+        AttemptOutcome::ConnectFailed
+    } else if connection.has_had_response() {
+        AttemptOutcome::IdleConnectionReset
+    } else {
+        AttemptOutcome::Reset
+    }
+}
+
+/// An error and its sources, for the log.
+pub(super) fn describe(error: &dyn Error) -> String {
+    sources(error).fold(error.to_string(), |text, source| {
+        format!("{text}: {source}")
+    })
+}
+
+fn is_returned_unwritten(error: &(dyn Error + 'static)) -> bool {
+    error
+        .downcast_ref::<hyper::Error>()
+        .is_some_and(hyper::Error::is_canceled)
+}
+
+fn sources(error: &dyn Error) -> impl Iterator<Item = &(dyn Error + 'static)> {
+    iter::successors(error.source(), |&error| error.source())
+}
--- /dev/null
+++ b/crates/net/src/upstream/health_check.rs
@@ -0,0 +1,114 @@
+//! Health checks: requests for the load report of an endpoint.
+//!
+//! A check that loses a reused connection is repeated on a new one, as an endpoint may drop an idle
+//! connection and be well. A check that is given up closes its connection.
+
+use super::attempt::AttemptConnection;
+use super::client::{HttpClient, UpstreamClient};
+use super::headers;
+use super::load_report;
+use super::request_body::RequestBody;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode};
+use pumiceway_decisions::api::{LoadReport, Outcome};
+use tokio::time::timeout;
+
+const PATH: &str = "/-/load";
+/// The longest load report, in bytes.
+const MAX_REPORT_BYTES: usize = 16 << 10;
+
+/// The result of one request.
+struct CheckResult {
+    outcome: Outcome,
+    report: Option<LoadReport>,
+    /// The request failed on a connection that had carried a response before.
+    lost_reused_connection: bool,
+}
+
+impl CheckResult {
+    fn failed(outcome: Outcome) -> CheckResult {
+        CheckResult {
+            outcome,
+            report: None,
+            lost_reused_connection: false,
+        }
+    }
+}
+
+/// The connection of a check in flight; dropped before the check ends, it is closed.
+struct CheckConnection(AttemptConnection);
+
+impl Drop for CheckConnection {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
+
+impl UpstreamClient {
+    /// Requests the load report of the endpoint. A check that takes too long has the outcome
+    /// [`Outcome::Timeout`].
+    pub async fn check_health(&self) -> (Outcome, Option<LoadReport>) {
+        let result = timeout(self.health_check_timeout, self.check_reused_then_new())
+            .await
+            .unwrap_or(CheckResult::failed(Outcome::Timeout));
+        (result.outcome, result.report)
+    }
+
+    async fn check_reused_then_new(&self) -> CheckResult {
+        let result = self.check_once(&self.pooled).await;
+        if result.lost_reused_connection {
+            return self.check_once(&self.dedicated).await;
+        }
+        result
+    }
+
+    async fn check_once(&self, client: &HttpClient) -> CheckResult {
+        let request =
+            Request::get(format!("http://{}{PATH}", self.address)).body(RequestBody::default());
+        let Ok(mut request) = request else {
+            return CheckResult::failed(Outcome::ConnectFailed);
+        };
+        let check = CheckConnection(AttemptConnection::new(&mut request));
+        *request.body_mut() = RequestBody::new(Bytes::new(), check.0.clone(), None);
+        match client.request(request).await {
+            Ok(response) => read_response(response, &check.0).await,
+            Err(error) if error.is_connect() => CheckResult::failed(Outcome::ConnectFailed),
+            Err(_) => CheckResult {
+                lost_reused_connection: check.0.has_had_response(),
+                ..CheckResult::failed(Outcome::Reset)
+            },
+        }
+    }
+}
+
+async fn read_response(
+    response: Response<Incoming>,
+    connection: &AttemptConnection,
+) -> CheckResult {
+    connection.begin_response();
+    let outcome = outcome_of_head(&response);
+    let report_in_headers = load_report::from_headers(&response);
+    let body = Limited::new(response.into_body(), MAX_REPORT_BYTES)
+        .collect()
+        .await;
+    connection.end();
+    let report_in_body = body
+        .ok()
+        .and_then(|body| load_report::parse(&body.to_bytes()));
+    CheckResult {
+        outcome,
+        report: report_in_body.or(report_in_headers),
+        lost_reused_connection: false,
+    }
+}
+
+fn outcome_of_head(response: &Response<Incoming>) -> Outcome {
+    let is_rejected = response.headers().contains_key(headers::REJECTED);
+    match response.status() {
+        StatusCode::OK => Outcome::Success,
+        StatusCode::SERVICE_UNAVAILABLE if is_rejected => Outcome::Rejected,
+        _ => Outcome::Error,
+    }
+}
--- a/crates/net/src/upstream/progress_limit.rs
+++ b/crates/net/src/upstream/progress_limit.rs
@@ -1,54 +1,69 @@
-//! What a next hop may say before its last line, and how much of that is passed on.
+//! How many lines an endpoint may send before the last one, and which of them are passed on.
+//!
+//! Updates go into the queue of the event loop, which has no bound: an endpoint that sends lines
+//! without end would fill it and delay everyone else.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines before the last one may take up so many bytes, and so many more in each second. A next hop
-/// that tells of its progress ten times a second needs a hundredth of it.
-const SAID_MOST: u64 = 64 << 10;
-const SAID_EACH: u64 = 64 << 10;
-/// Shares of progress are passed on no more often: the decisions look no more often than that.
-const SHARES: Duration = Duration::from_millis(50);
-
-/// Keeps a next hop that talks without end from filling the queue to the core.
-pub struct ProgressLimit {
-    since: Instant,
-    said: u64,
-    started: bool,
-    shared: Option<Instant>,
+/// Lines before the last one may take up this many bytes, and as many more as the rate allows. An
+/// endpoint that reports its progress ten times a second needs a hundredth of the rate.
+const MAX_BURST_BYTES: u64 = 64 << 10;
+const MAX_BYTES_PER_SECOND: u64 = 64 << 10;
+/// Fractions are passed on no more often than this: the decisions use no finer ones.
+const MIN_FRACTION_INTERVAL: Duration = Duration::from_millis(50);
+
+/// An endpoint sent more lines before its last one than an attempt may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("too many lines before the last one")]
+pub(super) struct TooManyLines;
+
+/// The limit for one attempt.
+pub(super) struct ProgressLimit {
+    began_at: Instant,
+    bytes: u64,
+    start_reported: bool,
+    last_fraction_at: Option<Instant>,
 }
 
 impl ProgressLimit {
-    /// Nothing said yet.
-    pub fn start(now: Instant) -> ProgressLimit {
+    /// The limit for an attempt whose response begins now.
+    pub(super) fn new(now: Instant) -> ProgressLimit {
         ProgressLimit {
-            since: now,
-            said: 0,
-            started: false,
-            shared: None,
+            began_at: now,
+            bytes: 0,
+            start_reported: false,
+            last_fraction_at: None,
         }
     }
 
-    /// Takes in a line that is not the last, or says that these are too many.
-    pub fn take(&mut self, now: Instant, bytes: usize) -> Result<(), String> {
-        self.said += bytes as u64;
-        let millis = (now - self.since).as_millis() as u64;
-        match self.said > SAID_MOST.saturating_add(millis.saturating_mul(SAID_EACH) / 1_000) {
-            true => Err("lines without end".into()),
-            false => Ok(()),
+    /// Counts a line that is not the last, of this many bytes.
+    ///
+    /// # Errors
+    ///
+    /// Too many bytes came in this time.
+    pub(super) fn count_line(&mut self, now: Instant, bytes: usize) -> Result<(), TooManyLines> {
+        self.bytes += bytes as u64;
+        let elapsed_ms = (now - self.began_at).as_millis() as u64;
+        let earned = elapsed_ms.saturating_mul(MAX_BYTES_PER_SECOND) / 1_000;
+        if self.bytes > MAX_BURST_BYTES.saturating_add(earned) {
+            return Err(TooManyLines);
         }
+        Ok(())
     }
 
-    /// Whether the start is to be told: once.
-    pub fn starts(&mut self) -> bool {
-        !std::mem::replace(&mut self.started, true)
+    /// Whether the start of the job is to be passed on: the first time only.
+    pub(super) fn passes_start(&mut self) -> bool {
+        !std::mem::replace(&mut self.start_reported, true)
     }
 
-    /// Whether a share is to be told now.
-    pub fn shares(&mut self, now: Instant) -> bool {
-        let due = self.shared.is_none_or(|at| now - at >= SHARES);
+    /// Whether a fraction that came now is to be passed on.
+    pub(super) fn passes_fraction(&mut self, now: Instant) -> bool {
+        let due = self
+            .last_fraction_at
+            .is_none_or(|last| now - last >= MIN_FRACTION_INTERVAL);
         if due {
-            self.shared = Some(now);
+            self.last_fraction_at = Some(now);
         }
         due
     }
--- /dev/null
+++ b/crates/net/src/upstream/tests/health_checks.rs
@@ -0,0 +1,125 @@
+//! Health checks on connections that break, fall silent or never end.
+
+use super::support::*;
+use crate::upstream::PoolSettings;
+use crate::upstream::pool_settings::HEALTH_CHECK_TIMEOUT;
+use pumiceway_decisions::api::Outcome;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+// An endpoint that dropped an idle connection must not be ejected for it.
+#[test]
+fn health_check_on_a_dropped_idle_connection_is_repeated_on_a_new_one() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let server = std::thread::spawn(move || {
+        let read = |stream: &mut TcpStream| assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
+        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}";
+        let mut reused = listener.accept().unwrap().0;
+        read(&mut reused);
+        reused.write_all(response).unwrap();
+        read(&mut reused);
+        drop(reused);
+        let mut dedicated = listener.accept().unwrap().0;
+        read(&mut dedicated);
+        dedicated.write_all(response).unwrap();
+    });
+    block_on(async {
+        let client = client(&address);
+        for _ in 0..2 {
+            let (outcome, report) = client.check_health().await;
+            assert_eq!(
+                (outcome, report.and_then(|report| report.free_slots)),
+                (Outcome::Success, Some(2.0))
+            );
+        }
+    });
+    server.join().unwrap();
+}
+
+// A health check must not wait without end, fill the memory, or leave a connection to be reused
+// with its response still to come.
+#[test]
+fn endless_health_check_ends_in_time_and_closes_its_connection() {
+    let silent = [
+        "".to_owned(),
+        CHUNKED_HEAD.into(),
+        format!("{CHUNKED_HEAD}{}", chunk("{\"x0\":2}")),
+    ];
+    let endless = [
+        format!("{CHUNKED_HEAD}{}", chunk("x0=2,")),
+        "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\nx".into(),
+    ];
+    for (text, floods) in silent
+        .iter()
+        .map(|text| (text, false))
+        .chain(endless.iter().map(|text| (text, true)))
+    {
+        for given_up in [false, true] {
+            let (endpoint, mut control) = scripted_endpoint();
+            let first = text.clone();
+            let server = std::thread::spawn(move || {
+                let mut stream = endpoint.accept();
+                read_request(&mut stream);
+                stream.write_all(first.as_bytes()).unwrap();
+                endpoint.pause_at("sent the beginning");
+                let bytes = if floods {
+                    let is_chunked = first.contains("chunked");
+                    let repeated = if is_chunked { "1\r\nx\r\n" } else { "x" };
+                    flood(&mut stream, "", repeated)
+                } else {
+                    read_rest(stream).len()
+                };
+                let mut stream = endpoint.accept();
+                read_request(&mut stream);
+                stream
+                    .write_all(response("200 OK", "x0=2").as_bytes())
+                    .unwrap();
+                bytes
+            });
+            block_on(async {
+                // One that floods is ended by its size, and one that is given up by the drop.
+                let limit = if floods || given_up {
+                    TEST_TIMEOUT
+                } else {
+                    HEALTH_CHECK_TIMEOUT
+                };
+                let pool = PoolSettings {
+                    health_check_timeout: limit,
+                    ..POOL
+                };
+                let client = client_with(&control.address, pool);
+                let mut check = Box::pin(client.check_health());
+                if given_up {
+                    while control.steps.try_recv().is_err() {
+                        assert!(!poll_once(&mut check.as_mut()).await);
+                        settle().await;
+                    }
+                    control.resume();
+                    drop(check);
+                } else {
+                    control.resume();
+                    let outcome = if floods {
+                        Outcome::Success
+                    } else {
+                        Outcome::Timeout
+                    };
+                    assert_eq!(
+                        timeout(TEST_TIMEOUT, check).await.expect("no end"),
+                        (outcome, None),
+                        "{text}"
+                    );
+                }
+                settle().await;
+                let (outcome, report) = client_with(&control.address, POOL).check_health().await;
+                assert_eq!(
+                    (outcome, report.unwrap().free_slots),
+                    (Outcome::Success, Some(2.0)),
+                    "{text}"
+                );
+            });
+            assert!(server.join().unwrap() < MAX_BUFFERED_BYTES, "{text}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/net/src/upstream/tests/reuse.rs
@@ -0,0 +1,234 @@
+//! Reuse of a connection after a response, and what is proven when a reused one fails.
+
+use super::support::*;
+use bytes::Bytes;
+use pumiceway_core::AttemptOutcome;
+use std::io::{Read, Write};
+use std::sync::mpsc;
+use std::time::Duration;
+
+// An abort that crosses the end of its attempt must not close the connection under the next one,
+// whose job would count as one that may have run.
+#[test]
+fn abort_after_the_end_leaves_the_connection_to_the_next_attempt() {
+    let line = |state: &str| {
+        response(
+            "200 OK",
+            &format!("{{\"id\":\"a\",\"state\":\"{state}\"}}\n"),
+        )
+    };
+    let rejected = "503 Busy\r\nX-Turned-Away: 1";
+    let responses = [
+        (line("done"), AttemptOutcome::Served(Bytes::new())),
+        (line("failed"), AttemptOutcome::Error),
+        (line("returned"), AttemptOutcome::Rejected),
+        (line("lost"), AttemptOutcome::Reset),
+        (response(rejected, ""), AttemptOutcome::Rejected),
+        (response("500 Broken", "x"), AttemptOutcome::Error),
+        (response("400 Bad", "x"), AttemptOutcome::InvalidJob),
+    ];
+    for (text, outcome) in responses {
+        let (endpoint, mut control) = scripted_endpoint();
+        let first_response = text.clone();
+        let server = std::thread::spawn(move || {
+            let mut stream = endpoint.accept();
+            read_request(&mut stream);
+            stream.write_all(first_response.as_bytes()).unwrap();
+            read_request(&mut stream);
+            endpoint.pause_at("has the second request");
+            stream.write_all(completed("b").as_bytes()).unwrap();
+        });
+        block_on(async {
+            let client = client(&control.address);
+            let first = RunningAttempt::start(&client, &job("a", 9));
+            let first_connection = first.connection.clone();
+            assert_eq!(first.end().await, (outcome, None), "{text}");
+            settle().await;
+            let second = RunningAttempt::start(&client, &job("b", 9));
+            control.wait_for("has the second request").await;
+            first_connection.abort();
+            settle().await;
+            control.resume();
+            assert_eq!(second.end().await, served("b"), "{text}");
+        });
+        server.join().unwrap();
+    }
+}
+
+// A response may turn out to be unusable only after its connection has been read to the end, and
+// carries the next attempt.
+#[test]
+fn unusable_response_does_not_close_the_connection_of_the_next_attempt() {
+    for body in [
+        "what?\n",
+        "{\"id\":\"z\",\"state\":\"done\"}\n",
+        " \n",
+        "{\"id\":\"a\",\"state\":\"started\"}\n",
+    ] {
+        let (endpoint, mut control) = scripted_endpoint();
+        let server = std::thread::spawn(move || {
+            let mut stream = endpoint.accept();
+            read_request(&mut stream);
+            let text = response("200 OK", body);
+            let (head, rest) = text.split_at(text.len() - body.len());
+            stream.write_all(head.as_bytes()).unwrap();
+            endpoint.pause_at("sent the head");
+            stream.write_all(rest.as_bytes()).unwrap();
+            endpoint.pause_at("sent the body");
+            read_request(&mut stream);
+            endpoint.pause_at("has the second request");
+            stream.write_all(completed("b").as_bytes()).unwrap();
+        });
+        block_on(async {
+            let client = client(&control.address);
+            let (sender, ends) = mpsc::channel();
+            let (connection, attempt) = client
+                .attempt(&job("a", 9), options(TEST_TIMEOUT), EndSender(sender))
+                .unwrap();
+            let mut attempt = std::pin::pin!(attempt);
+            // It has seen the head, and is not polled again until the next attempt is in flight.
+            while !connection.has_had_response() {
+                assert!(!poll_once(&mut attempt).await);
+                settle().await;
+            }
+            control.wait_for("sent the head").await;
+            control.resume();
+            control.wait_for("sent the body").await;
+            settle().await;
+            let second = RunningAttempt::start(&client, &job("b", 9));
+            control.resume();
+            control.wait_for("has the second request").await;
+            while !poll_once(&mut attempt).await {
+                settle().await;
+            }
+            assert_eq!(
+                ends.try_recv().unwrap(),
+                (AttemptOutcome::Reset, None),
+                "{body}"
+            );
+            settle().await;
+            control.resume();
+            assert_eq!(second.end().await, served("b"), "{body}");
+        });
+        server.join().unwrap();
+    }
+}
+
+// A job whose connection was dead before its first byte has not run, and a late response to one
+// attempt must not be taken as that to the next. The runtime has not seen the event of the socket
+// when the request is written.
+#[test]
+fn idle_connection_that_closed_or_sent_data_gets_no_byte_of_the_next_request() {
+    let late_rejection = response("503 Busy\r\nX-Turned-Away: 1", "");
+    // Closed; reset; or sent without a request.
+    let endings = [
+        None,
+        Some(String::new()),
+        Some("{\"id\":".into()),
+        Some(completed("a")),
+        Some(completed("b")),
+        Some(late_rejection),
+    ];
+    for (ending, size) in endings
+        .iter()
+        .flat_map(|ending| [(ending, 0), (ending, 9), (ending, 64 << 10)])
+    {
+        let (endpoint, mut control) = scripted_endpoint();
+        let text = ending.clone();
+        let server = std::thread::spawn(move || {
+            let mut stream = endpoint.accept();
+            read_request(&mut stream);
+            stream.write_all(completed("a").as_bytes()).unwrap();
+            endpoint.pause_at("responded");
+            match text {
+                None => drop(stream),
+                Some(text) if text.is_empty() => {
+                    socket2::SockRef::from(&stream)
+                        .set_linger(Some(Duration::ZERO))
+                        .unwrap();
+                    drop(stream);
+                }
+                Some(text) => {
+                    stream.write_all(text.as_bytes()).unwrap();
+                    endpoint.pause_at("ended or sent");
+                    let mut rest = Vec::new();
+                    let _ = stream.read_to_end(&mut rest);
+                    assert_eq!(String::from_utf8_lossy(&rest), "");
+                    let mut stream = endpoint.accept();
+                    read_request(&mut stream);
+                    return stream.write_all(completed("c").as_bytes()).unwrap();
+                }
+            }
+            endpoint.pause_at("ended or sent");
+            let mut stream = endpoint.accept();
+            read_request(&mut stream);
+            stream.write_all(completed("c").as_bytes()).unwrap();
+        });
+        block_on(async {
+            let client = client(&control.address);
+            assert_eq!(
+                RunningAttempt::start(&client, &job("a", size)).end().await,
+                served("a")
+            );
+            control.wait_for("responded").await;
+            settle().await;
+            control.resume();
+            let (sender, ends) = mpsc::channel();
+            let (_, attempt) = client
+                .attempt(&job("b", size), options(TEST_TIMEOUT), EndSender(sender))
+                .unwrap();
+            // From here on the runtime looks at no socket before the request is written.
+            control.block_until("ended or sent");
+            attempt.await;
+            assert_eq!(
+                ends.try_recv().unwrap(),
+                (AttemptOutcome::ConnectFailed, None),
+                "{ending:?} {size}"
+            );
+            control.resume();
+            assert_eq!(
+                RunningAttempt::start(&client, &job("c", size)).end().await,
+                served("c")
+            );
+        });
+        server.join().unwrap();
+    }
+}
+
+#[test]
+fn partly_written_request_may_have_run() {
+    for is_reused in [true, false] {
+        let (endpoint, control) = scripted_endpoint();
+        let server = std::thread::spawn(move || {
+            let mut stream = endpoint.accept();
+            if is_reused {
+                read_request(&mut stream);
+                stream.write_all(completed("a").as_bytes()).unwrap();
+            }
+            // Of 64 MiB the rest is on its way: it closes with bytes unread.
+            assert_eq!(stream.read(&mut [0]).unwrap(), 1);
+        });
+        block_on(async {
+            let client = client(&control.address);
+            if is_reused {
+                assert_eq!(
+                    RunningAttempt::start(&client, &job("a", 9)).end().await,
+                    served("a")
+                );
+                settle().await;
+            }
+            let outcome = if is_reused {
+                AttemptOutcome::IdleConnectionReset
+            } else {
+                AttemptOutcome::Reset
+            };
+            assert_eq!(
+                RunningAttempt::start(&client, &job("b", 64 << 20))
+                    .end()
+                    .await,
+                (outcome, None)
+            );
+        });
+        server.join().unwrap();
+    }
+}
--- a/crates/net/tests/attempts.rs
+++ b/crates/net/tests/attempts.rs
@@ -1,5 +1,7 @@
-//! How attempts end, at deployments unlike each other, played on loopback against next hops that
-//! misbehave.
+//! How attempts end in different deployments, on loopback against endpoints that misbehave.
+//!
+//! Each case is played with each class of each deployment. The endpoint that gets the request `t1`
+//! first sends the text of the case and goes on as it says, once; all other requests are served.
 
 use pumiceway_test_support::{SETTINGS, Stage};
 use std::collections::HashMap;
@@ -9,8 +11,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Classes with short deadlines; repeats are dropped within a cell, and nobody says which that is.
-const SHORT: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
+/// Classes with short deadlines; repeats are dropped within a cell, and no endpoint names its own.
+const SHORT_DEADLINES: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
   "lanes":[{"name":"quote","aim-us":600000,"deadline-us":2000000,"points":1.0,"semantics":"read_like"},
     {"name":"pay","aim-us":600000,"deadline-us":2400000,"points":9.0,"semantics":"non_idempotent"},
     {"name":"seat","aim-us":600000,"deadline-us":2400000,"points":4.0,"semantics":"idempotency_key",
@@ -19,29 +21,75 @@
   "limits":{"most-tries":4,"cancel":true,"second-copies":false,"connect-timeout-us":1000000,
     "conn-idle-us":3000000},"rules":{"drain-grace-us":500000}}"#;
 
-/// Long deadlines, few tries, no cancelling; repeats are dropped within the zone.
-const LONG: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":5000,
+/// Long deadlines, few attempts, no cancelling; repeats are dropped within the zone.
+const LONG_DEADLINES: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":5000,
   "lanes":[{"name":"scan","aim-us":4000000,"deadline-us":60000000,"points":1.0,"semantics":"read_like"},
     {"name":"ledger","aim-us":9000000,"deadline-us":90000000,"points":20.0,"semantics":"non_idempotent"},
     {"name":"stamp","aim-us":4000000,"deadline-us":60000000,"points":6.0,"semantics":"idempotency_key",
      "dedup-scope":"zone","window-us":30000000}],
   "limits":{"most-tries":2,"cancel":false,"connect-timeout-us":250000,"conn-idle-us":60000000},"rules":{}}"#;
 
-/// Classes of each deployment, and whether what may have run is sent again there.
-const SITES: [(&str, &[(&str, bool)]); 3] = [
-    (SETTINGS, &[("rate-push", true), ("booking-import", false)]),
-    (SHORT, &[("quote", true), ("pay", false), ("seat", false)]),
-    (LONG, &[("scan", true), ("ledger", false), ("stamp", true)]),
+struct Deployment {
+    settings: &'static str,
+    /// The first one is idempotent.
+    classes: &'static [Class],
+}
+
+#[derive(Clone, Copy)]
+struct Class {
+    name: &'static str,
+    /// Whether a job that may have run is sent again.
+    may_repeat: bool,
+}
+
+const fn class(name: &'static str, may_repeat: bool) -> Class {
+    Class { name, may_repeat }
+}
+
+const DEPLOYMENTS: [Deployment; 3] = [
+    Deployment {
+        settings: SETTINGS,
+        classes: &[class("rate-push", true), class("booking-import", false)],
+    },
+    Deployment {
+        settings: SHORT_DEADLINES,
+        classes: &[
+            class("quote", true),
+            class("pay", false),
+            class(UNKNOWN_CELL_CLASS, false),
+        ],
+    },
+    Deployment {
+        settings: LONG_DEADLINES,
+        classes: &[
+            class("scan", true),
+            class("ledger", false),
+            class("stamp", true),
+        ],
+    },
 ];
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// The class whose repeats are dropped within a cell that no endpoint names.
+const UNKNOWN_CELL_CLASS: &str = "seat";
+
+/// The longest that a play may take, and an endpoint waits for a request.
+const PLAY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Each play has a dispatcher and two endpoints: more at a time would take so much of the machine
+/// that they would see it.
+const PLAYS_AT_A_TIME: usize = 6;
+/// The time that a client leaves for its request, in milliseconds.
+const REMAINING_MS: u64 = 5_000;
 
+const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// A chunk with a line for request `t1`.
 fn line(text: &str) -> String {
     let line = format!("{{\"id\":\"t1\",\"from\":\"w\",{text}}}\n");
     format!("{:x}\r\n{line}\r\n", line.len())
 }
 
-fn done(id: &str) -> String {
+/// A whole response that says that the job is done; its result is the id.
+fn completed(id: &str) -> String {
     let line =
         format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"done\",\"result\":\"{id}\"}}\n");
     format!(
@@ -50,77 +98,84 @@
     )
 }
 
-/// What a next hop does after it has said something.
+/// What an endpoint does after it has sent the text of a case.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Then {
     Reset,
     Close,
-    /// It says nothing more, and counts the end of the connection as a request named `closed`.
+    /// It sends nothing more, and counts the end of the connection as a request named [`CLOSED`].
     Silence,
-    /// It goes on saying this, at once or now and then, and counts the end in the same way.
+    /// It goes on sending this, at once or now and then, and counts the end in the same way.
     Flood(&'static str),
     Trickle(&'static str),
     /// It takes the next request.
-    Next,
+    NextRequest,
 }
 
-/// What becomes of the request.
+/// What becomes of the request `t1`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Execution {
+enum Expected {
     /// It is served with the first attempt.
     Served,
     /// The attempt may have run.
-    Doubtful,
-    /// It never ran.
-    Never,
-    /// It failed, and goes to no other next hop.
-    Refused,
-    /// It is waited for in vain.
-    Late,
+    MayHaveRun,
+    /// The attempt never ran.
+    NeverRan,
+    /// The job is invalid: it goes to no other endpoint.
+    InvalidJob,
+    /// The attempt is waited for in vain.
+    TimedOut,
 }
 
-/// Two next hops, of which the first to get a request named `t1` does as told, once; all others are
-/// served.
-struct Workers {
-    over: Arc<AtomicBool>,
-    requests: Arc<Mutex<HashMap<String, usize>>>,
+struct Case {
+    text: String,
+    then: Then,
+    expected: Expected,
+}
+
+fn case(texts: &[&str], then: Then, expected: Expected) -> Case {
+    Case {
+        text: texts.concat(),
+        then,
+        expected,
+    }
+}
+
+/// Requests by id, and how often each came.
+type RequestCounts = HashMap<String, usize>;
+
+/// Under this name the end of a connection is counted.
+const CLOSED: &str = "closed";
+
+/// The endpoints of a play.
+struct Endpoints {
+    stopped: Arc<AtomicBool>,
+    requests: Arc<Mutex<RequestCounts>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
-impl Workers {
-    fn start(listeners: Vec<TcpListener>, say: String, then: Then) -> Workers {
-        let (over, requests) = (
-            Arc::<AtomicBool>::default(),
-            Arc::<Mutex<HashMap<_, _>>>::default(),
-        );
-        let play = |listener: TcpListener| {
-            let (over, requests, say) = (over.clone(), requests.clone(), say.clone());
-            std::thread::spawn(move || {
-                listener.set_nonblocking(true).unwrap();
-                while !over.load(Ordering::Relaxed) {
-                    let Ok((stream, _)) = listener.accept() else {
-                        std::thread::sleep(Duration::from_millis(1));
-                        continue;
-                    };
-                    stream.set_nonblocking(false).unwrap();
-                    stream.set_nodelay(true).unwrap();
-                    let (requests, say) = (requests.clone(), say.clone());
-                    // It ends with its connection.
-                    std::thread::spawn(move || serve(stream, &requests, &say, then));
-                }
-            })
+impl Endpoints {
+    fn start(listeners: Vec<TcpListener>, text: &str, then: Then) -> Endpoints {
+        let stopped = Arc::<AtomicBool>::default();
+        let requests = Arc::<Mutex<RequestCounts>>::default();
+        let start = |listener: TcpListener| {
+            let (stopped, requests, text) = (stopped.clone(), requests.clone(), text.to_owned());
+            std::thread::spawn(move || accept_each(&listener, &stopped, &requests, &text, then))
         };
-        let threads = listeners.into_iter().map(play).collect();
-        Workers {
-            over,
+        let threads = listeners.into_iter().map(start).collect();
+        Endpoints {
+            stopped,
             requests,
             threads,
         }
     }
 
-    /// How often each request came.
-    fn end(self) -> HashMap<String, usize> {
-        self.over.store(true, Ordering::Relaxed);
+    fn saw_close(&self) -> bool {
+        self.requests.lock().unwrap().contains_key(CLOSED)
+    }
+
+    fn stop(self) -> RequestCounts {
+        self.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads {
             thread.join().unwrap();
         }
@@ -128,8 +183,29 @@
     }
 }
 
-/// Reads a request; its id, or nothing at the end.
-fn request(stream: &mut TcpStream) -> Option<String> {
+fn accept_each(
+    listener: &TcpListener,
+    stopped: &AtomicBool,
+    requests: &Arc<Mutex<RequestCounts>>,
+    text: &str,
+    then: Then,
+) {
+    listener.set_nonblocking(true).unwrap();
+    while !stopped.load(Ordering::Relaxed) {
+        let Ok((stream, _)) = listener.accept() else {
+            std::thread::sleep(Duration::from_millis(1));
+            continue;
+        };
+        stream.set_nonblocking(false).unwrap();
+        stream.set_nodelay(true).unwrap();
+        let (requests, text) = (requests.clone(), text.to_owned());
+        // The thread ends with its connection.
+        std::thread::spawn(move || serve(stream, &requests, &text, then));
+    }
+}
+
+/// Reads a request. Returns its id, or nothing at the end.
+fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -139,21 +215,19 @@
         }
     }
     let head = String::from_utf8(head).unwrap();
-    let field = |name: &str| {
+    let header = |name: &str| {
         head.lines()
-            .find_map(|l| l.strip_prefix(name))
+            .find_map(|line| line.strip_prefix(name))
             .map(str::to_owned)
     };
-    let length = field("content-length: ").map_or(0, |l| l.parse().unwrap());
+    let length = header("content-length: ").map_or(0, |length| length.parse().unwrap());
     stream.read_exact(&mut vec![0; length]).ok()?;
-    field("x-txn: ")
+    header("x-txn: ")
 }
 
-fn serve(mut stream: TcpStream, requests: &Mutex<HashMap<String, usize>>, say: &str, then: Then) {
-    stream
-        .set_read_timeout(Some(Duration::from_secs(8)))
-        .unwrap();
-    while let Some(id) = request(&mut stream) {
+fn serve(mut stream: TcpStream, requests: &Mutex<RequestCounts>, text: &str, then: Then) {
+    stream.set_read_timeout(Some(PLAY_TIMEOUT)).unwrap();
+    while let Some(id) = read_request(&mut stream) {
         let count = {
             let mut requests = requests.lock().unwrap();
             let count = requests.entry(id.clone()).or_default();
@@ -161,12 +235,12 @@
             *count
         };
         if id != "t1" || count > 1 {
-            stream.write_all(done(&id).as_bytes()).unwrap();
+            stream.write_all(completed(&id).as_bytes()).unwrap();
             continue;
         }
-        stream.write_all(say.as_bytes()).unwrap();
+        stream.write_all(text.as_bytes()).unwrap();
         match then {
-            Then::Next => {}
+            Then::NextRequest => {}
             Then::Close => return,
             Then::Reset => {
                 socket2::SockRef::from(&stream)
@@ -177,10 +251,10 @@
             Then::Silence => {
                 match stream.read(&mut [0]) {
                     Ok(0) => {}
-                    Err(e) if e.kind() == ErrorKind::ConnectionReset => {}
+                    Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
                     other => panic!("{other:?} on a silent connection"),
                 }
-                requests.lock().unwrap().insert("closed".into(), 1);
+                requests.lock().unwrap().insert(CLOSED.into(), 1);
                 return;
             }
             Then::Flood(text) | Then::Trickle(text) => {
@@ -191,280 +265,277 @@
                         std::thread::sleep(Duration::from_millis(1));
                     }
                 }
-                requests.lock().unwrap().insert("closed".into(), 1);
+                requests.lock().unwrap().insert(CLOSED.into(), 1);
                 return;
             }
         }
     }
 }
 
-/// A job of this class, with a key.
-fn job(class: &str, id: &str, left: u64) -> String {
+/// The step that sends a job of this class, with an idempotency key.
+fn send_job(class: &str, id: &str, remaining_ms: u64) -> String {
     format!(
-        r"c send raw POST /{class}/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: {left}\r\nIdempotency-Key: {id}\r\nContent-Length: 1\r\n\r\nx"
+        r"c send raw POST /{class}/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: {remaining_ms}\r\nIdempotency-Key: {id}\r\nContent-Length: 1\r\n\r\nx"
     )
 }
 
-/// Plays each case with each class at each deployment, a few at a time: each has a dispatcher and
-/// its next hops, and what the plays take of the machine is not to be what they see.
-fn table(cases: &[(String, Then, Execution)], left: u64) {
+/// Plays each case with each class of each deployment.
+fn play_all(cases: &[Case], remaining_ms: u64) {
     let mut plays = Vec::new();
-    for (settings, classes) in SITES {
-        for &(class, again) in classes {
-            plays.extend(
-                cases
-                    .iter()
-                    .map(|case| (settings, class, classes[0].0, again, case)),
-            );
+    for deployment in &DEPLOYMENTS {
+        for &class in deployment.classes {
+            plays.extend(cases.iter().map(|case| (deployment, class, case)));
         }
     }
     let next = AtomicUsize::new(0);
-    std::thread::scope(|s| {
-        for _ in 0..6 {
-            s.spawn(|| {
-                while let Some(&(settings, class, safe, again, case)) =
+    std::thread::scope(|scope| {
+        for _ in 0..PLAYS_AT_A_TIME {
+            scope.spawn(|| {
+                while let Some(&(deployment, class, case)) =
                     plays.get(next.fetch_add(1, Ordering::Relaxed))
                 {
-                    play(settings, class, safe, again, case, left);
+                    play(deployment, class, case, remaining_ms);
                 }
             });
         }
     });
 }
 
-/// Plays one job, and one after it on the same connection of the client, which has its own answer.
-fn play(
-    settings: &str,
-    class: &str,
-    safe: &str,
-    again: bool,
-    (say, then, fate): &(String, Then, Execution),
-    left: u64,
-) {
-    let what = format!("{class}: {say:?} {then:?}");
+/// Plays one job, and one after it on the same connection of the client, which gets its own
+/// response.
+fn play(deployment: &Deployment, class: Class, case: &Case, remaining_ms: u64) {
+    let Case {
+        text,
+        then,
+        expected,
+    } = case;
+    let what = format!("{}: {text:?} {then:?}", class.name);
     println!("{what}");
-    let mut stage = Stage::with_settings(&["w1", "w2"], None, settings);
-    let workers = Workers::start(vec![stage.take("w1"), stage.take("w2")], say.clone(), *then);
-    let (attempts, answer) = match fate {
-        Execution::Served => (1, "200 t1"),
-        Execution::Doubtful | Execution::Late if !again => (1, "502"),
-        Execution::Doubtful | Execution::Never => (2, "200 t1"),
-        Execution::Refused => (1, "422"),
-        // The other next hop may have been asked, and have answered, in time.
-        Execution::Late => (2, "HTTP/1.1 "),
+    let mut stage = Stage::with_settings(&["w1", "w2"], None, deployment.settings);
+    let endpoints = Endpoints::start(vec![stage.take("w1"), stage.take("w2")], text, *then);
+    let (attempts, response) = match expected {
+        Expected::Served => (1, "200 t1"),
+        Expected::MayHaveRun | Expected::TimedOut if !class.may_repeat => (1, "502"),
+        Expected::MayHaveRun | Expected::NeverRan => (2, "200 t1"),
+        Expected::InvalidJob => (1, "422"),
+        // The other endpoint may have got it, and have responded, in time.
+        Expected::TimedOut => (2, "HTTP/1.1 "),
     };
-    // Where nobody says who drops a repeat, it is held back up to the deadline.
-    let left = if class == "seat" && *fate == Execution::Doubtful {
+    // Where the deduplication scope is unknown, a repeat is queued up to the deadline.
+    let remaining_ms = if class.name == UNKNOWN_CELL_CLASS && *expected == Expected::MayHaveRun {
         800
     } else {
-        left
+        remaining_ms
     };
     let start = Instant::now();
-    stage.go_on(&job(class, "t1", left));
-    stage.go_on(&format!("c expect {answer}"));
-    // However slow the machine is: before the next time that the settings name, the shortest
-    // deadline of 2 s, is over for the shortest of these.
+    stage.go_on(&send_job(class.name, "t1", remaining_ms));
+    stage.go_on(&format!("c expect {response}"));
+    // On a slow machine, too: before the next time that the settings name, the shortest deadline of
+    // 2 s, is over for the shortest of these.
     assert!(
-        start.elapsed() < Duration::from_millis(left + 1_200),
+        start.elapsed() < Duration::from_millis(remaining_ms + 1_200),
         "{what}: {:?}",
         start.elapsed()
     );
-    if *fate == Execution::Refused {
-        // What is wrong with a request costs its connection.
+    if *expected == Expected::InvalidJob {
+        // An invalid request costs its connection.
         stage.go_on("c expect end\nc close");
     }
-    // Where a next hop is on trial, what can't be repeated waits; where it closes just then, that
-    // may be lost.
-    let own = *fate == Execution::Served && *then == Then::Next;
-    stage.go_on(&job(if own { class } else { safe }, "t2", 5_000));
+    // A non-idempotent job is queued while an endpoint is on probation, and may be lost if that
+    // closes just then.
+    let is_undisturbed = *expected == Expected::Served && *then == Then::NextRequest;
+    let next_class = if is_undisturbed {
+        class
+    } else {
+        deployment.classes[0]
+    };
+    stage.go_on(&send_job(next_class.name, "t2", REMAINING_MS));
     stage.go_on("c expect 200 t2");
-    let ends = matches!(then, Then::Silence | Then::Flood(_) | Then::Trickle(_));
-    while ends && !workers.requests.lock().unwrap().contains_key("closed") {
-        assert!(
-            start.elapsed() < Duration::from_secs(8),
-            "{what}: still open"
-        );
+    let closes = matches!(then, Then::Silence | Then::Flood(_) | Then::Trickle(_));
+    while closes && !endpoints.saw_close() {
+        assert!(start.elapsed() < PLAY_TIMEOUT, "{what}: still open");
         std::thread::sleep(Duration::from_millis(1));
     }
-    let requests = workers.end();
+    let requests = endpoints.stop();
     // What may be repeated may also be, where the machine is slow.
-    let most = |count, again| if again { count + 1 } else { count };
-    let least = if *fate == Execution::Late {
+    let max = |count, may_repeat| if may_repeat { count + 1 } else { count };
+    let min = if *expected == Expected::TimedOut {
         1
     } else {
         attempts
     };
     assert!(
-        (least..=most(attempts, again)).contains(&requests["t1"]),
+        (min..=max(attempts, class.may_repeat)).contains(&requests["t1"]),
         "{what}: {requests:?}"
     );
     assert!(
-        (1..=most(1, !own || again)).contains(&requests["t2"]),
+        (1..=max(1, !is_undisturbed || class.may_repeat)).contains(&requests["t2"]),
         "{what}: {requests:?}"
     );
 }
 
-// Guards against a lost job, one that runs twice, or two answers, however a connection breaks
-// before, within, or right after an answer.
+// However a connection breaks before, within or right after a response, no job is lost or run
+// twice, and no client gets two responses.
 #[test]
-fn an_attempt_whose_connection_breaks_ends_once_and_as_what_it_was() {
+fn attempt_on_a_broken_connection_ends_once_and_with_what_is_proven() {
     let started = line("\"state\":\"started\"");
     let half = "{\"id\":\"t1\",\"state\":\"do";
     let half = format!("{:x}\r\n{half}\r\n", half.len());
     let last = line("\"state\":\"done\",\"result\":\"t1\"");
-    let case = |say: &[&str], then, fate| (say.concat(), then, fate);
     let mut cases = Vec::new();
     for then in [Then::Reset, Then::Close] {
         cases.extend([
-            case(&[], then, Execution::Doubtful),
-            case(&["HTTP/1.1 200 "], then, Execution::Doubtful),
-            case(&[HEAD], then, Execution::Doubtful),
-            case(&[HEAD, &started], then, Execution::Doubtful),
-            case(&[HEAD, &started, &half], then, Execution::Doubtful),
+            case(&[], then, Expected::MayHaveRun),
+            case(&["HTTP/1.1 200 "], then, Expected::MayHaveRun),
+            case(&[CHUNKED_HEAD], then, Expected::MayHaveRun),
+            case(&[CHUNKED_HEAD, &started], then, Expected::MayHaveRun),
+            case(&[CHUNKED_HEAD, &started, &half], then, Expected::MayHaveRun),
             case(
                 &["HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"id\":\"t1\","],
                 then,
-                Execution::Doubtful,
+                Expected::MayHaveRun,
             ),
-            // After its last word nothing can take it back.
-            case(&[HEAD, &started, &last], then, Execution::Served),
+            // After the last line nothing can take it back.
+            case(&[CHUNKED_HEAD, &started, &last], then, Expected::Served),
             case(
-                &[HEAD, &started, &last, "0\r\n\r\n"],
+                &[CHUNKED_HEAD, &started, &last, "0\r\n\r\n"],
                 then,
-                Execution::Served,
+                Expected::Served,
             ),
-            case(&[&done("t1")], then, Execution::Served),
+            case(&[&completed("t1")], then, Expected::Served),
             case(
                 &["HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 9\r\n\r\n"],
                 then,
-                Execution::Never,
+                Expected::NeverRan,
             ),
             case(
                 &["HTTP/1.1 500 Broken\r\nContent-Length: 9\r\n\r\n"],
                 then,
-                Execution::Doubtful,
+                Expected::MayHaveRun,
             ),
         ]);
     }
-    table(&cases, 5_000);
+    play_all(&cases, REMAINING_MS);
 }
 
-// Guards against a word that is believed beyond the last, or for another job; and against an end
-// without a last word.
+// Lines after the last one do not count, nor do those for another request.
 #[test]
-fn an_answer_counts_up_to_its_last_word_and_without_one_is_a_reset() {
+fn response_counts_up_to_its_last_line_and_is_a_reset_without_one() {
     let started = line("\"state\":\"started\"");
     let last = line("\"state\":\"done\",\"result\":\"t1\"");
-    let case = |say: &[&str], fate| (say.concat(), Then::Next, fate);
+    let case = |texts: &[&str], expected| case(texts, Then::NextRequest, expected);
     let cases = [
         case(
             &[
-                HEAD,
+                CHUNKED_HEAD,
                 &last,
                 &line("\"state\":\"done\",\"result\":\"other\""),
                 "0\r\n\r\n",
             ],
-            Execution::Served,
+            Expected::Served,
         ),
         case(
-            &[HEAD, &last, &line("\"state\":\"failed\""), "0\r\n\r\n"],
-            Execution::Served,
+            &[
+                CHUNKED_HEAD,
+                &last,
+                &line("\"state\":\"failed\""),
+                "0\r\n\r\n",
+            ],
+            Expected::Served,
         ),
         case(
-            &[HEAD, &last, "5\r\n{\"id\"\r\n0\r\n\r\n"],
-            Execution::Served,
+            &[CHUNKED_HEAD, &last, "5\r\n{\"id\"\r\n0\r\n\r\n"],
+            Expected::Served,
         ),
         case(
-            &[HEAD, "1\r\n\n\r\n", &started, &last, "0\r\n\r\n"],
-            Execution::Served,
+            &[CHUNKED_HEAD, "1\r\n\n\r\n", &started, &last, "0\r\n\r\n"],
+            Expected::Served,
         ),
-        case(&[&done("t1"), &done("t1")], Execution::Served),
+        case(&[&completed("t1"), &completed("t1")], Expected::Served),
         case(
             &[
-                &done("t1"),
-                &done("t2").replace("\"result\":\"t2\"", "\"result\":\"xx\""),
+                &completed("t1"),
+                &completed("t2").replace("\"result\":\"t2\"", "\"result\":\"xx\""),
             ],
-            Execution::Served,
+            Expected::Served,
         ),
         case(
             &[
-                &done("t1"),
+                &completed("t1"),
                 "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
             ],
-            Execution::Served,
+            Expected::Served,
         ),
-        case(&[&done("t1"), "HTTP"], Execution::Served),
-        case(&[HEAD, &started, "0\r\n\r\n"], Execution::Doubtful),
-        case(&[HEAD, "0\r\n\r\n"], Execution::Doubtful),
+        case(&[&completed("t1"), "HTTP"], Expected::Served),
+        case(&[CHUNKED_HEAD, &started, "0\r\n\r\n"], Expected::MayHaveRun),
+        case(&[CHUNKED_HEAD, "0\r\n\r\n"], Expected::MayHaveRun),
         case(
             &["HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"],
-            Execution::Doubtful,
+            Expected::MayHaveRun,
         ),
-        case(&[&done("t9")], Execution::Doubtful),
+        case(&[&completed("t9")], Expected::MayHaveRun),
         case(
-            &[HEAD, &line("\"state\":\"lost\""), "0\r\n\r\n"],
-            Execution::Doubtful,
+            &[CHUNKED_HEAD, &line("\"state\":\"lost\""), "0\r\n\r\n"],
+            Expected::MayHaveRun,
         ),
         case(
-            &[HEAD, &line("\"state\":\"failed\""), "0\r\n\r\n"],
-            Execution::Doubtful,
+            &[CHUNKED_HEAD, &line("\"state\":\"failed\""), "0\r\n\r\n"],
+            Expected::MayHaveRun,
         ),
         case(
-            &[HEAD, &line("\"state\":\"returned\""), "0\r\n\r\n"],
-            Execution::Never,
+            &[CHUNKED_HEAD, &line("\"state\":\"returned\""), "0\r\n\r\n"],
+            Expected::NeverRan,
         ),
         case(
             &["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"],
-            Execution::Doubtful,
+            Expected::MayHaveRun,
         ),
         case(
             &["HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n"],
-            Execution::Refused,
+            Expected::InvalidJob,
         ),
     ];
-    table(&cases, 5_000);
+    play_all(&cases, REMAINING_MS);
 }
 
-// Guards against an attempt that is out for ever at a next hop that has fallen silent, and against
-// a second answer when the time of the attempt and its client's run out together.
+// An attempt must not stay in flight for ever at an endpoint that has fallen silent, nor may its
+// client get two responses when its time and that of the attempt run out together.
 #[test]
-fn half_a_line_and_then_silence_ends_with_the_time_of_the_attempt() {
-    let half = format!("{HEAD}{}4\r\n{{\"id\r\n", line("\"state\":\"started\""));
-    let cases = [String::new(), HEAD.into(), half].map(|say| (say, Then::Silence, Execution::Late));
-    table(&cases, 600);
+fn silent_endpoint_ends_the_attempt_at_its_deadline() {
+    let half = format!(
+        "{CHUNKED_HEAD}{}4\r\n{{\"id\r\n",
+        line("\"state\":\"started\"")
+    );
+    let cases = [String::new(), CHUNKED_HEAD.into(), half]
+        .map(|text| case(&[&text], Then::Silence, Expected::TimedOut));
+    play_all(&cases, 600);
 }
 
-// Guards against a next hop that says forever that it will answer: it holds the loop that everyone
-// is served by, or its attempt past its time, or its connection after that.
+// Interim responses without end must not keep the thread that serves everyone busy, nor the attempt
+// in flight after its deadline, nor its connection open after that.
 #[test]
-fn interim_answers_without_end_end_the_attempt_and_its_connection_and_hold_up_nobody() {
-    const EACH: [&str; 3] = [
+fn endless_interim_responses_end_the_attempt_and_delay_nobody() {
+    const INTERIM_RESPONSES: [&str; 3] = [
         "HTTP/1.1 100 Continue\r\n\r\n",
         "HTTP/1.1 102 Processing\r\n\r\n",
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n",
     ];
-    let say = String::new;
-    // The machine reads a mebibyte of them slowly where nothing is optimized: one at a time.
-    for text in EACH {
-        for (class, again) in [("rate-push", true), ("booking-import", false)] {
-            play(
-                SETTINGS,
-                class,
-                "rate-push",
-                again,
-                &(say(), Then::Flood(text), Execution::Doubtful),
-                5_000,
-            );
+    // An unoptimized build reads a mebibyte of them slowly: one at a time.
+    let deployment = &DEPLOYMENTS[0];
+    for text in INTERIM_RESPONSES {
+        let flood = case(&[], Then::Flood(text), Expected::MayHaveRun);
+        for &class in deployment.classes {
+            play(deployment, class, &flood, REMAINING_MS);
         }
     }
-    table(&[(say(), Then::Trickle(EACH[2]), Execution::Late)], 1_000);
-    // Some are no harm.
-    table(
-        &[(
-            EACH.concat().repeat(30) + &done("t1"),
-            Then::Next,
-            Execution::Served,
-        )],
-        5_000,
+    let trickle = case(&[], Then::Trickle(INTERIM_RESPONSES[2]), Expected::TimedOut);
+    play_all(&[trickle], 1_000);
+    // A few do no harm.
+    let few = INTERIM_RESPONSES.concat().repeat(30);
+    let served = case(
+        &[&few, &completed("t1")],
+        Then::NextRequest,
+        Expected::Served,
     );
+    play_all(&[served], REMAINING_MS);
 }
