--- /dev/null
+++ b/crates/net/src/config/error.rs
@@ -0,0 +1,66 @@
+//! What can be wrong with the configuration.
+//!
+//! An operator has to find the place from the message alone, so each error names the key at fault,
+//! or the file where there is no key.
+
+use pumiceway_decisions::api::SettingsError;
+use pumiceway_decisions::settings::DeploymentSettingsError;
+
+/// What is wrong with the configuration.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum ConfigError {
+    /// A file cannot be read or parsed.
+    #[error("{file}: {reason}")]
+    File {
+        /// Its name.
+        file: String,
+        /// Why it cannot be used.
+        reason: String,
+    },
+    /// A value is missing or cannot be used.
+    #[error("{key}: {reason}")]
+    Key {
+        /// The key of the value.
+        key: String,
+        /// Why the value cannot be used.
+        reason: String,
+    },
+}
+
+impl ConfigError {
+    /// An error in the value of this key.
+    pub(super) fn key(key: &str, reason: impl ToString) -> ConfigError {
+        ConfigError::Key {
+            key: key.to_owned(),
+            reason: reason.to_string(),
+        }
+    }
+
+    /// An error in this file as a whole.
+    pub(super) fn file(file: &str, reason: impl ToString) -> ConfigError {
+        ConfigError::File {
+            file: file.to_owned(),
+            reason: reason.to_string(),
+        }
+    }
+}
+
+/// Settings that can be parsed but cannot work, by the key at fault where there is one.
+impl From<DeploymentSettingsError> for ConfigError {
+    fn from(error: DeploymentSettingsError) -> ConfigError {
+        let key = match &error {
+            DeploymentSettingsError::UnknownZone(_) => "settings.my-zone",
+            DeploymentSettingsError::Unusable(SettingsError::NoClasses) => "settings.lanes",
+            DeploymentSettingsError::Unusable(SettingsError::NoAttempts) => {
+                "settings.limits.most-tries"
+            }
+            DeploymentSettingsError::Unusable(SettingsError::OutOfRange {
+                what: "instance",
+                ..
+            }) => "settings.me",
+            _ => "settings",
+        };
+        ConfigError::key(key, error)
+    }
+}
--- /dev/null
+++ b/crates/net/src/config/platform.rs
@@ -0,0 +1,135 @@
+//! The platform's document: the JSON file that `ROUTER_CONFIG` names.
+//!
+//! Environment variables take precedence over the file. Every value is checked before anything is
+//! started, and an error names its key.
+
+use super::address::is_host_and_port;
+use super::sockets::check_limits;
+use super::{Config, ConfigError, Sockets, StartupValues, address, read_text};
+use crate::discovery::ListMessage;
+use pumiceway_decisions::settings::DeploymentSettings;
+use serde::Deserialize;
+use std::path::Path;
+use std::sync::Arc;
+
+const DEFAULT_NAME: &str = "pumiceway";
+
+/// The document, as written.
+#[derive(Deserialize)]
+struct PlatformDocument {
+    name: Option<String>,
+    listen: Option<String>,
+    discovery: Option<String>,
+    seed: Option<String>,
+    #[serde(default)]
+    limits: Limits,
+    #[serde(rename = "known")]
+    bootstrap_list: Option<ListMessage>,
+    settings: DeploymentSettings,
+}
+
+/// What the process may use.
+#[derive(Deserialize)]
+#[serde(default)]
+struct Limits {
+    sockets: usize,
+    memory_mb: u64,
+}
+
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
+            sockets: 1024,
+            memory_mb: 192,
+        }
+    }
+}
+
+impl Config {
+    /// Reads the file named by `ROUTER_CONFIG`; the other variables take precedence over it.
+    ///
+    /// # Errors
+    ///
+    /// `ROUTER_CONFIG` is not set, the file cannot be read, or a value cannot be used.
+    pub fn from_environment(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let file =
+            env("ROUTER_CONFIG").ok_or_else(|| ConfigError::key("ROUTER_CONFIG", "not set"))?;
+        let text = read_text(Path::new(&file))?;
+        Config::from_text(&text, &file, env)
+    }
+
+    /// Parses the text of that file.
+    ///
+    /// # Errors
+    ///
+    /// The text is not a configuration, or a value cannot be used.
+    pub fn from_text(
+        text: &str,
+        file: &str,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, ConfigError> {
+        let document = PlatformDocument::parse(text, file)?;
+        let listen = env("ROUTER_LISTEN")
+            .or(document.listen)
+            .ok_or_else(|| ConfigError::key("listen", "missing"))?;
+        let listen = address("listen", &listen)?;
+        let discovery = env("ROUTER_DISCOVERY")
+            .or(document.discovery)
+            .filter(|address| !address.is_empty());
+        if let Some(discovery) = &discovery {
+            check_discovery(discovery)?;
+        }
+        let seed = seed(document.seed.as_deref())?;
+        let limits = document.limits;
+        check_limits(limits.sockets, limits.memory_mb)?;
+        let settings = document.settings.settings()?;
+        Ok(Config {
+            name: env("ROUTER_NAME")
+                .or(document.name)
+                .unwrap_or_else(|| DEFAULT_NAME.to_owned()),
+            listen,
+            discovery,
+            seed,
+            sockets: Sockets::divide(limits.sockets, limits.memory_mb),
+            bootstrap_list: document.bootstrap_list,
+            deployment: Arc::new(document.settings),
+            settings,
+            gearman: None,
+            zookeeper: None,
+            fixed: StartupValues::from_text(text),
+        })
+    }
+}
+
+impl PlatformDocument {
+    fn parse(text: &str, file: &str) -> Result<PlatformDocument, ConfigError> {
+        let mut parsed = serde_json::Deserializer::from_str(text);
+        serde_path_to_error::deserialize(&mut parsed).map_err(|error| {
+            let key = error.path().to_string();
+            // The path of the document itself.
+            if key == "." {
+                return ConfigError::file(file, error.inner());
+            }
+            ConfigError::key(&key, format!("{} (in {file})", error.inner()))
+        })
+    }
+}
+
+fn check_discovery(address: &str) -> Result<(), ConfigError> {
+    if is_host_and_port(address) {
+        return Ok(());
+    }
+    let reason = format!("{address:?} is not host:port");
+    Err(ConfigError::key("discovery", reason))
+}
+
+/// The seed for random numbers; drawn at random where none is written.
+fn seed(written: Option<&str>) -> Result<u64, ConfigError> {
+    let Some(text) = written else {
+        return Ok(fastrand::u64(..));
+    };
+    u64::from_str_radix(text, 16).map_err(|_| {
+        let reason = format!("{text:?} is not 16 hexadecimal digits");
+        ConfigError::key("seed", reason)
+    })
+}
--- a/crates/net/src/discovery/body.rs
+++ b/crates/net/src/discovery/body.rs
@@ -1,40 +1,41 @@
-//! A body that is read with a bound on how long ago each part of it was written.
+//! The body of a discovery response, with a bound on how long ago each part of it was written.
+//!
+//! A process that was suspended must not take for new what it then reads. So the reader notes when
+//! the connection was last seen to be empty: what it reads next was written after that.
 
+use super::call::CallResponse;
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use hyper::body::Incoming;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long the connection is waited on before it is noted that nothing had come.
-const LOOK: Duration = Duration::from_millis(100);
+/// How long a read waits before it notes that the connection was empty.
+const READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why reading a body came to an end.
+/// Why a body cannot be read further.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    /// Nothing came for too long.
-    #[error("silent for too long")]
+    /// Nothing was received until the deadline.
+    #[error("nothing was received in time")]
     Silent,
     /// The connection broke.
-    #[error("broke: {0}")]
+    #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// A body, and since when at the earliest what is read next was written.
-///
-/// Prevents: a process that stood still reads what was written long ago as if it were new.
+/// A response body, and the earliest time at which what is read next was written.
 pub(super) struct DatedBody {
-    body: Incoming,
-    /// All that was written before this has been read.
+    response: CallResponse,
+    /// All that was written before this time has been read.
     read_up_to: Instant,
 }
 
 impl DatedBody {
-    /// The body of an answer to a call that was begun at this time.
-    pub(super) fn new(body: Incoming, called: Instant) -> DatedBody {
+    /// The body of the response to a call that was begun at this time.
+    pub(super) fn new(response: CallResponse, called_at: Instant) -> DatedBody {
         DatedBody {
-            body,
-            read_up_to: called,
+            response,
+            read_up_to: called_at,
         }
     }
 
@@ -43,17 +44,22 @@
         self.read_up_to
     }
 
-    /// The next part; `None` at its end. Silence up to this time is an error.
-    pub(super) async fn next(&mut self, end: Instant) -> Result<Option<Bytes>, ReadError> {
+    /// The next part of the body; `None` at its end.
+    ///
+    /// # Errors
+    ///
+    /// Nothing is received until the deadline, or the connection breaks.
+    pub(super) async fn next(&mut self, deadline: Instant) -> Result<Option<Bytes>, ReadError> {
         loop {
-            let looked = Instant::now();
-            match timeout_at(end.min(looked + LOOK), self.body.frame()).await {
+            let read_at = Instant::now();
+            let read_until = deadline.min(read_at + READ_INTERVAL);
+            match timeout_at(read_until, self.response.body.frame()).await {
                 Ok(None) => return Ok(None),
                 Ok(Some(frame)) => return Ok(Some(frame?.into_data().unwrap_or_default())),
-                Err(_) if end <= looked => return Err(ReadError::Silent),
-                // A timer goes off only after the runtime has asked the system what has arrived, so
-                // what had come when we looked would have been read by now.
-                Err(_) => self.read_up_to = looked,
+                Err(_) if deadline <= read_at => return Err(ReadError::Silent),
+                // A timer fires only after the runtime has polled the system for input, so all that
+                // had arrived at `read_at` would have been read by now.
+                Err(_) => self.read_up_to = read_at,
             }
         }
     }
--- a/crates/net/src/discovery/call_schedule/tests.rs
+++ b/crates/net/src/discovery/call_schedule/tests.rs
@@ -1,112 +1,148 @@
+//! Bounds of the call schedule, and a simulated fleet beside an overloaded service.
+
 use super::*;
+use crate::discovery::call::SERVICE_TIMEOUT;
+use crate::discovery::watcher::SILENCE_TIMEOUT;
 use std::collections::BTreeSet;
 
+/// A millisecond in microseconds.
 const MS: u64 = 1_000;
+/// How long a call waits for the service before it has failed, in microseconds.
+const CALL_TIMEOUT_US: u64 = 2_000 * MS;
+/// When the second start of the fleet begins, in microseconds.
+const RESTART_US: u64 = 60_000 * MS;
+
+/// What a simulation has shown.
+struct Simulation {
+    /// How long each of the two starts took until the last dispatcher was served, in microseconds.
+    last_served: [u64; 2],
+    /// The highest number of calls within a second.
+    max_calls: usize,
+}
 
-/// A service that takes this long (µs) for a call, in turn, and ends one unserved that has waited
-/// for 2 s. Half way the fleet has to call anew. When the last dispatcher was served each time, in
-/// µs; and the most calls in a second.
-fn play(instances: usize, work: u64) -> ([u64; 2], usize) {
+/// A fleet that starts twice, beside a service that works through its calls in turn. Each call
+/// takes `work` µs, and one that waits for longer than its timeout is not served.
+fn simulate(instances: usize, work: u64) -> Simulation {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut paces = vec![CallSchedule::new(instances, Duration::from_secs(10)); instances];
-    let (mut last, mut calls, mut free) = ([0; 2], Vec::new(), 0u64);
-    for (n, last) in last.iter_mut().enumerate() {
-        let begins = n as u64 * 60_000 * MS;
-        let mut due: BTreeSet<(u64, usize)> = (paces.iter().enumerate())
-            .map(|(at, pace)| (begins + pace.first(rng.f64()).as_micros() as u64, at))
+    let mut schedules = vec![CallSchedule::new(instances, Duration::from_secs(10)); instances];
+    let (mut last_served, mut calls, mut free_at) = ([0; 2], Vec::new(), 0u64);
+    for (start, last_served) in last_served.iter_mut().enumerate() {
+        let begins = start as u64 * RESTART_US;
+        let mut due: BTreeSet<(u64, usize)> = (schedules.iter().enumerate())
+            .map(|(index, schedule)| {
+                let wait = schedule.first(rng.f64()).as_micros() as u64;
+                (begins + wait, index)
+            })
             .collect();
-        while let Some((now, at)) = due.pop_first() {
+        while let Some((now, index)) = due.pop_first() {
             calls.push(now);
-            free = free.max(now) + work;
-            if free - now <= 2_000 * MS {
-                *last = (*last).max(free - begins);
-                paces[at].next(Duration::from_secs(30), true, 0.0);
+            free_at = free_at.max(now) + work;
+            if free_at - now <= CALL_TIMEOUT_US {
+                *last_served = (*last_served).max(free_at - begins);
+                schedules[index].next(Duration::from_secs(30), true, 0.0);
                 continue;
             }
-            let wait = paces[at].next(Duration::from_secs(2), false, rng.f64());
-            due.insert((now + 2_000 * MS + wait.as_micros() as u64, at));
+            let wait = schedules[index].next(Duration::from_secs(2), false, rng.f64());
+            due.insert((now + CALL_TIMEOUT_US + wait.as_micros() as u64, index));
             assert!(
-                now < begins + 60_000 * MS,
-                "dispatchers are left that nobody serves"
+                now < begins + RESTART_US,
+                "some dispatchers are never served"
             );
         }
     }
-    let within = |from: u64| {
+    let calls_in_second = |from: u64| {
         calls
             .iter()
-            .filter(|&&c| c >= from && c < from + 1_000 * MS)
+            .filter(|&&call| call >= from && call < from + 1_000 * MS)
             .count()
     };
-    (last, calls.iter().map(|&c| within(c)).max().unwrap_or(0))
+    let max_calls = calls.iter().map(|&call| calls_in_second(call)).max();
+    Simulation {
+        last_served,
+        max_calls: max_calls.unwrap_or(0),
+    }
+}
+
+/// The longest wait after nine failures in a row.
+fn longest_wait_after_failures(schedule: &mut CallSchedule) -> Duration {
+    (0..9)
+        .map(|_| schedule.next(Duration::ZERO, false, 1.0))
+        .max()
+        .unwrap_or_default()
 }
 
-// Guards against a fleet that asks again faster than it is served: every call waited too long, its
-// work was done for nobody, and dispatchers stayed with the list of their start for the whole day.
+// A fleet that called again faster than it is served would have all its calls time out while their
+// work is done for nobody.
 #[test]
-fn a_fleet_that_calls_at_once_is_served_by_a_service_that_is_overbooked() {
-    let plays = [
+fn a_fleet_that_starts_at_once_is_served_by_an_overloaded_service() {
+    let cases = [
         (100, 50 * MS, 10, 36),
         (100, 100 * MS, 30, 36),
         (300, 17 * MS, 10, 84),
     ];
-    for (instances, work, within, at_most) in plays {
-        let (last, most) = play(instances, work);
+    for (instances, work, within_s, at_most) in cases {
+        let Simulation {
+            last_served,
+            max_calls,
+        } = simulate(instances, work);
         assert!(
-            last.iter().all(|&l| l < within * 1_000 * MS),
-            "{instances}, {work}: {last:?}"
+            last_served.iter().all(|&us| us < within_s * 1_000 * MS),
+            "{instances}, {work}: {last_served:?}"
+        );
+        // A fifth of the fleet in a second, and what comes on top by chance.
+        assert!(
+            max_calls <= at_most,
+            "{instances}, {work}: {max_calls} calls"
         );
-        // What comes by chance on top of a fifth of them.
-        assert!(most <= at_most, "{instances}, {work}: {most}");
     }
 }
 
-// Guards against a dispatcher that counts as told that a worker has gone before it has asked, as it
-// draws its turn from 15 s where there are 300: it went on sending there. After a failed call that
-// comes four times later.
+// Otherwise a dispatcher would count as notified that an endpoint has gone before it has called,
+// and send to it.
 #[test]
-fn whatever_the_size_of_the_fleet_a_call_is_over_before_its_news_counts_as_told() {
-    let (call, silence) = (super::super::watcher::CALL, super::super::watcher::SILENCE);
+fn a_call_is_over_before_its_result_counts_as_notified_whatever_the_size_of_the_fleet() {
     for instances in [0, 1, 3, 60, 100, 300, 10_000, usize::MAX] {
-        for ask_within in [
+        for max_poll_interval in [
             Duration::ZERO,
             Duration::from_secs(10),
             Duration::from_secs(30),
         ] {
-            let mut pace = CallSchedule::new(instances, ask_within);
+            let mut schedule = CallSchedule::new(instances, max_poll_interval);
+            assert!(
+                max_poll_interval.is_zero()
+                    || schedule.first(1.0) + SERVICE_TIMEOUT <= max_poll_interval,
+                "{instances}"
+            );
             assert!(
-                ask_within.is_zero() || pace.first(1.0) + call <= ask_within,
+                schedule.first_moved(1.0) + SERVICE_TIMEOUT <= NOTIFIED_AFTER_MOVE,
                 "{instances}"
             );
-            assert!(pace.first_moved(1.0) + call <= TOLD_MOVED, "{instances}");
             assert!(
-                pace.next(STOOD * 2, true, 1.0) + call <= TOLD,
+                schedule.next(SERVED_AFTER * 2, true, 1.0) + SERVICE_TIMEOUT <= NOTIFIED_AFTER,
                 "{instances}"
             );
-            // What a silent watch misses counts as told so long after its last word. Where many are
-            // silent at once the call waits for its turn: less time to draw from makes more calls
-            // wait in vain, and come again later.
+            // What a silent watch misses counts as notified this long after its last message. Where
+            // many are silent at once the call waits for its turn: from a shorter span, more calls
+            // would fail and come again later.
             assert!(
-                silence + pace.next(STOOD * 2, false, 1.0) <= TOLD,
+                SILENCE_TIMEOUT + schedule.next(SERVED_AFTER * 2, false, 1.0) <= NOTIFIED_AFTER,
                 "{instances}"
             );
-            let failed = (0..9)
-                .map(|_| pace.next(Duration::ZERO, false, 1.0))
-                .max()
-                .unwrap_or_default();
+            let after_failures = longest_wait_after_failures(&mut schedule);
             assert!(
-                ask_within.is_zero() || failed + call <= ask_within * 4,
+                max_poll_interval.is_zero()
+                    || after_failures + SERVICE_TIMEOUT <= max_poll_interval * 4,
                 "{instances}"
             );
         }
     }
 }
 
-// Guards against a dispatcher of a large fleet that calls its own agent as late as one that all
-// share: what the agent has counts as told from the first moment of a new process on, and the grace
-// of a drain is half a second.
+// What the agent has counts as notified from the first moment of a new process on, and the grace of
+// a drain is half a second: there is no time for a turn among the fleet.
 #[test]
-fn an_agent_of_its_own_is_called_at_once_however_large_the_fleet() {
-    let conf = |discovery: &str, instances: usize| -> DeploymentSettings {
+fn an_agent_is_called_at_once_however_large_the_fleet() {
+    let settings = |discovery: &str, instances: usize| -> DeploymentSettings {
         let text = format!(
             r#"{{"lanes":[],"limits":{{"most-tries":1}},"rules":{{"ask-within-us":10000000}},
             "discovery":"{discovery}","n-instances":{instances}}}"#
@@ -114,37 +150,34 @@
         serde_json::from_str(&text).unwrap()
     };
     for instances in [1, 3, 300, 10_000] {
-        let mut pace = CallSchedule::of(&conf("automatic", instances));
+        let mut schedule = CallSchedule::of(&settings("automatic", instances));
         assert_eq!(
-            (pace.first(1.0), pace.first_moved(1.0)),
+            (schedule.first(1.0), schedule.first_moved(1.0)),
             (Duration::ZERO, Duration::ZERO)
         );
-        let again = (0..9)
-            .map(|_| pace.next(Duration::ZERO, false, 1.0))
-            .max()
-            .unwrap_or_default();
+        let after_failures = longest_wait_after_failures(&mut schedule);
         assert!(
-            (LEAST..Duration::from_millis(250)).contains(&again),
-            "{again:?}"
+            (MIN_WAIT..Duration::from_millis(250)).contains(&after_failures),
+            "{after_failures:?}"
         );
-        assert_eq!(pace.next(STOOD * 2, false, 1.0), LEAST);
+        assert_eq!(schedule.next(SERVED_AFTER * 2, false, 1.0), MIN_WAIT);
     }
-    let asked = CallSchedule::of(&conf("subscribe", 300));
+    let polled = CallSchedule::of(&settings("subscribe", 300));
     assert_eq!(
-        asked.first(1.0),
+        polled.first(1.0),
         CallSchedule::new(300, Duration::from_secs(10)).first(1.0)
     );
 }
 
 #[test]
-fn a_small_site_hears_again_at_once_and_waits_are_bounded() {
+fn a_small_site_calls_again_at_once_and_waits_are_bounded() {
     for instances in [0, 1, 3] {
-        let mut pace = CallSchedule::new(instances, Duration::ZERO);
-        assert!(pace.first(1.0) <= Duration::from_millis(150));
+        let mut schedule = CallSchedule::new(instances, Duration::ZERO);
+        assert!(schedule.first(1.0) <= Duration::from_millis(150));
         for _ in 0..40 {
-            assert!(pace.next(Duration::ZERO, false, 1.0) <= Duration::from_millis(1_250));
+            assert!(schedule.next(Duration::ZERO, false, 1.0) <= Duration::from_millis(1_250));
         }
-        assert!(pace.next(Duration::from_secs(3), false, 1.0) <= Duration::from_millis(200));
+        assert!(schedule.next(Duration::from_secs(3), false, 1.0) <= Duration::from_millis(200));
     }
     let mut vast = CallSchedule::new(usize::MAX, Duration::from_secs(10));
     assert!(vast.next(Duration::ZERO, false, 1.0) < Duration::MAX);
@@ -153,7 +186,9 @@
         .map(|_| fleet.next(Duration::ZERO, false, 1.0))
         .collect();
     assert!(
-        waits.iter().all(|&w| w <= Duration::from_millis(10_050)),
+        waits
+            .iter()
+            .all(|&wait| wait <= Duration::from_millis(10_050)),
         "{waits:?}"
     );
 }
--- a/crates/net/src/event_loop/tests.rs
+++ b/crates/net/src/event_loop/tests.rs
@@ -1,13 +1,16 @@
+//! The ends of an attempt, against an endpoint on loopback.
+
 mod sockets;
 
 use super::*;
 use bytes::Bytes;
-use pumiceway_core::{AttemptOutcome, ClientRequest};
+use pumiceway_core::{AttemptOutcome, ClassOverview, ClientRequest};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
+use tokio::sync::oneshot::error::TryRecvError;
 
-/// A shell whose one next hop is at this address, and what it has yet to hear.
+/// An event loop whose only endpoint is at this address, and its messages.
 fn event_loop(address: &str) -> (EventLoop, mpsc::UnboundedReceiver<LoopMessage>) {
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","seed":"7","known":{{"index":1,"snapshot":true,"endpoints":[
@@ -15,7 +18,7 @@
         pumiceway_test_support::SETTINGS
     );
     let config = Config::from_text(&text, "config", |_| None).unwrap();
-    let (events, heard) = EventSender::new();
+    let (events, messages) = EventSender::new();
     let core = Core::new(config.settings, config.seed, Retention::default()).unwrap();
     let mut event_loop = EventLoop::new(
         Clock::start(),
@@ -24,13 +27,13 @@
         config.deployment.clone(),
         &config.sockets,
     );
-    let known = config.bootstrap_list.unwrap().endpoints(&config.deployment);
+    let list = config.bootstrap_list.unwrap();
     event_loop.feed(Event::EndpointListUpdated {
         source: EndpointSource::Discovery,
         as_of: Timestamp::ORIGIN,
-        update: EndpointListUpdate::Snapshot(known),
+        update: EndpointListUpdate::Snapshot(list.endpoints(&config.deployment)),
     });
-    (event_loop, heard)
+    (event_loop, messages)
 }
 
 fn job(n: u64) -> Job {
@@ -42,13 +45,13 @@
     }
 }
 
-/// A client that hands in a job, and where its answer comes.
-fn waiting(
+/// The message of a client that submits a request, and its response.
+fn submission(
     n: u64,
     class: ClassId,
     remaining: Duration,
 ) -> (LoopMessage, oneshot::Receiver<ClientResponse>) {
-    let (answer, answered) = oneshot::channel();
+    let (sender, response) = oneshot::channel();
     let request = ClientRequest {
         class,
         remaining,
@@ -58,15 +61,13 @@
         job: Arc::new(job(n)),
         unique_id: None,
     };
-    (
-        LoopMessage::Submitted {
-            handle: RequestHandle(n),
-            request,
-            response: answer,
-            updates: None,
-        },
-        answered,
-    )
+    let message = LoopMessage::Submitted {
+        handle: RequestHandle(n),
+        request,
+        response: sender,
+        updates: None,
+    };
+    (message, response)
 }
 
 fn submit(
@@ -74,11 +75,12 @@
     n: u64,
     remaining: Duration,
 ) -> oneshot::Receiver<ClientResponse> {
-    let (heard, answered) = waiting(n, ClassId(1), remaining);
-    event_loop.handle(heard);
-    answered
+    let (message, response) = submission(n, ClassId(1), remaining);
+    event_loop.handle(message);
+    response
 }
 
+/// Reads a request and completes it.
 fn serve(stream: &mut TcpStream, id: &str) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -91,127 +93,131 @@
     stream.write_all((head + &line).as_bytes()).unwrap();
 }
 
-// Guards against two endings of one attempt, a place that is kept for one that is over, and a
-// connection closed under the next import: its answer, its time and its client's leaving meet in
-// each order.
+/// An endpoint that serves two requests on one connection.
+fn serve_two(listener: TcpListener) {
+    let mut stream = listener.accept().unwrap().0;
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
+    serve(&mut stream, "t1");
+    serve(&mut stream, "t2");
+}
+
+/// What can end an attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum End {
+    Served,
+    DeadlineReached,
+    ClientDisconnected,
+}
+
+// The attempt must not end twice, keep its socket, or close the connection under the next attempt,
+// in whatever order its response, its deadline and its client's disconnection come.
 #[test]
-fn what_ends_an_attempt_first_is_its_end_and_leaves_nothing_behind() {
-    #[derive(Clone, Copy, Debug, PartialEq)]
-    enum End {
-        Done,
-        Time,
-        Leaving,
-    }
+fn what_ends_an_attempt_first_is_its_outcome_and_nothing_is_left_behind() {
     use End::*;
-    let each = |order: [End; 2]| {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap().to_string();
-        let server = std::thread::spawn(move || {
-            let mut stream = listener.accept().unwrap().0;
-            stream
-                .set_read_timeout(Some(Duration::from_secs(5)))
-                .unwrap();
-            serve(&mut stream, "t1");
-            // The same connection.
-            serve(&mut stream, "t2");
-        });
-        let runtime = tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .build()
-            .unwrap();
-        runtime.block_on(async {
-            let (mut event_loop, mut heard) = event_loop(&address);
-            // Long enough for its answer to come before it is over, however late we are.
-            let remaining = Duration::from_secs(2);
-            let until = event_loop.clock.now() + remaining;
-            let mut answered = submit(&mut event_loop, 1, remaining);
-            assert_eq!(
-                (
-                    event_loop.attempts.len(),
-                    event_loop.upstreams.len(),
-                    event_loop.clients.len()
-                ),
-                (1, 1, 1)
-            );
-            // It is told, and the shell has not heard it.
-            let told = heard.recv().await.unwrap();
-            let mut told = Some(told);
-            assert!(matches!(
-                &told,
-                Some(LoopMessage::Event(Event::AttemptEnded {
-                    outcome: AttemptOutcome::Served(_),
-                    ..
-                }))
-            ));
-            for end in order {
-                match end {
-                    Done => event_loop.handle(told.take().unwrap()),
-                    Time => {
-                        std::thread::sleep(until.saturating_duration_since(event_loop.clock.now()));
-                        event_loop.feed(Event::TimerFired);
-                    }
-                    Leaving => event_loop.feed(Event::ClientDisconnected {
-                        handle: RequestHandle(1),
-                    }),
+    std::thread::scope(|scope| {
+        for order in [
+            [Served, DeadlineReached],
+            [DeadlineReached, Served],
+            [Served, ClientDisconnected],
+            [ClientDisconnected, Served],
+            [DeadlineReached, ClientDisconnected],
+            [ClientDisconnected, DeadlineReached],
+        ] {
+            scope.spawn(move || end_attempt_in_order(order));
+        }
+    });
+}
+
+fn end_attempt_in_order(order: [End; 2]) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let server = std::thread::spawn(move || serve_two(listener));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        let (mut event_loop, mut messages) = event_loop(&address);
+        // Long enough for the response to come first, however late the test is.
+        let remaining = Duration::from_secs(2);
+        let deadline = event_loop.clock.now() + remaining;
+        let mut response = submit(&mut event_loop, 1, remaining);
+        assert_eq!(in_use(&event_loop), (1, 1, 1));
+        // The attempt is served, and the event loop has not handled that yet.
+        let mut ended = messages.recv().await;
+        assert!(matches!(
+            &ended,
+            Some(LoopMessage::Event(Event::AttemptEnded {
+                outcome: AttemptOutcome::Served(_),
+                ..
+            }))
+        ));
+        for end in order {
+            match end {
+                End::Served => event_loop.handle(ended.take().unwrap()),
+                End::DeadlineReached => {
+                    std::thread::sleep(deadline.saturating_duration_since(event_loop.clock.now()));
+                    event_loop.feed(Event::TimerFired);
                 }
-                assert!(
-                    event_loop.attempts.is_empty() && event_loop.clients.is_empty(),
-                    "{order:?} {end:?}"
-                );
-            }
-            if let Some(told) = told {
-                event_loop.handle(told);
-            }
-            let answer = answered.try_recv();
-            match order[0] {
-                Done => assert_eq!(answer, Ok(ClientResponse::Served("t1".into())), "{order:?}"),
-                Time => assert!(
-                    matches!(answer, Ok(ClientResponse::Failed(_))),
-                    "{order:?}: {answer:?}"
-                ),
-                Leaving => assert!(answer.is_err(), "{order:?}: {answer:?}"),
-            }
-            assert_eq!(
-                (
-                    event_loop.attempts.len(),
-                    event_loop.upstreams.len(),
-                    event_loop.clients.len()
-                ),
-                (0, 1, 0)
-            );
-            let overview = event_loop.core.overview();
-            assert!(
-                overview
-                    .classes
-                    .iter()
-                    .all(|c| *c == pumiceway_core::ClassOverview::default()),
-                "{order:?}: {overview:?}"
-            );
-            // Whatever was cut, the next one goes on the same connection and has its answer.
-            let mut answered = submit(&mut event_loop, 2, Duration::from_secs(5));
-            while let Err(oneshot::error::TryRecvError::Empty) = answered.try_recv().map(|a| {
-                assert_eq!(a, ClientResponse::Served("t2".into()), "{order:?}");
-            }) {
-                let told = tokio::time::timeout(Duration::from_secs(5), heard.recv()).await;
-                event_loop.handle(told.expect("no answer").unwrap());
+                End::ClientDisconnected => event_loop.feed(Event::ClientDisconnected {
+                    handle: RequestHandle(1),
+                }),
             }
             assert!(
                 event_loop.attempts.is_empty() && event_loop.clients.is_empty(),
-                "{order:?}"
+                "{order:?} {end:?}"
             );
-        });
-        server.join().unwrap();
-    };
-    std::thread::scope(|scope| {
-        for order in [
-            [Done, Time],
-            [Time, Done],
-            [Done, Leaving],
-            [Leaving, Done],
-            [Time, Leaving],
-            [Leaving, Time],
-        ] {
-            scope.spawn(move || each(order));
         }
+        if let Some(ended) = ended {
+            event_loop.handle(ended);
+        }
+        let response = response.try_recv();
+        match order[0] {
+            End::Served => assert_eq!(
+                response,
+                Ok(ClientResponse::Served("t1".into())),
+                "{order:?}"
+            ),
+            End::DeadlineReached => assert!(
+                matches!(response, Ok(ClientResponse::Failed(_))),
+                "{order:?}: {response:?}"
+            ),
+            End::ClientDisconnected => {
+                assert!(response.is_err(), "{order:?}: {response:?}");
+            }
+        }
+        assert_eq!(in_use(&event_loop), (0, 1, 0));
+        let overview = event_loop.core.overview();
+        assert!(
+            overview
+                .classes
+                .iter()
+                .all(|class| *class == ClassOverview::default()),
+            "{order:?}: {overview:?}"
+        );
+        // Whatever was aborted, the next attempt is served on the same connection.
+        let mut response = submit(&mut event_loop, 2, Duration::from_secs(5));
+        while let Err(TryRecvError::Empty) = response.try_recv().map(|response| {
+            assert_eq!(response, ClientResponse::Served("t2".into()), "{order:?}");
+        }) {
+            let message = tokio::time::timeout(Duration::from_secs(5), messages.recv()).await;
+            event_loop.handle(message.expect("no response").unwrap());
+        }
+        assert!(
+            event_loop.attempts.is_empty() && event_loop.clients.is_empty(),
+            "{order:?}"
+        );
     });
+    server.join().unwrap();
+}
+
+/// The numbers of attempts, upstreams and clients.
+fn in_use(event_loop: &EventLoop) -> (usize, usize, usize) {
+    (
+        event_loop.attempts.len(),
+        event_loop.upstreams.len(),
+        event_loop.clients.len(),
+    )
 }
--- a/crates/net/src/event_loop/tests/sockets.rs
+++ b/crates/net/src/event_loop/tests/sockets.rs
@@ -1,5 +1,7 @@
+//! Sockets to endpoints, and messages that the event loop takes in together.
+
 use super::super::*;
-use super::{job, waiting};
+use super::{job, submission};
 use crate::upstream::AttemptOptions;
 use pumiceway_core::{AttemptOutcome, Endpoint, EndpointAddress};
 use pumiceway_decisions::api::{EndpointState, KindId, ZoneId};
@@ -8,40 +10,44 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// One job at a time on each next hop.
 const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
   "lanes":[{"name":"push","aim-us":500000,"deadline-us":5000000,"points":2.0,"semantics":"read_like"},
     {"name":"import","aim-us":1500000,"deadline-us":6000000,"points":3.0,"semantics":"non_idempotent"}],
   "limits":{"most-tries":3,"cancel":true,"retry-after":true,"max-retry-after-us":2000000},"rules":{}}"#;
 
-/// A shell with so many sockets to these next hops, and what it hears.
+/// An event loop with this many sockets to these endpoints, and its messages.
 fn event_loop(
     outbound: usize,
-    upstreams: &[&Listener],
+    endpoints: &[&Listener],
 ) -> (EventLoop, UnboundedReceiver<LoopMessage>) {
-    let conf: Arc<DeploymentSettings> = Arc::new(serde_json::from_str(SETTINGS).unwrap());
-    let sockets = crate::config::Sockets {
+    let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_str(SETTINGS).unwrap());
+    let sockets = Sockets {
         inbound: 8,
         spare: 2,
         outbound,
     };
-    let (events, heard) = EventSender::new();
-    let core = Core::new(conf.settings().unwrap(), 7, Retention::default()).unwrap();
-    let mut event_loop = EventLoop::new(Clock::start(), core, events, conf, &sockets);
-    let lines = upstreams
+    let (events, messages) = EventSender::new();
+    let core = Core::new(settings.settings().unwrap(), 7, Retention::default()).unwrap();
+    let mut event_loop = EventLoop::new(Clock::start(), core, events, settings, &sockets);
+    let endpoints = endpoints
         .iter()
         .enumerate()
-        .map(|(n, listener)| line(n, listener))
+        .map(|(n, listener)| endpoint(n, listener))
         .collect();
+    list_endpoints(&mut event_loop, endpoints);
+    (event_loop, messages)
+}
+
+fn list_endpoints(event_loop: &mut EventLoop, endpoints: Vec<Endpoint>) {
     event_loop.feed(Event::EndpointListUpdated {
         source: EndpointSource::Discovery,
         as_of: Timestamp::ORIGIN,
-        update: EndpointListUpdate::Snapshot(lines),
+        update: EndpointListUpdate::Snapshot(endpoints),
     });
-    (event_loop, heard)
 }
 
-fn line(n: usize, listener: &Listener) -> Endpoint {
+/// An endpoint that takes one request at a time.
+fn endpoint(n: usize, listener: &Listener) -> Endpoint {
     Endpoint {
         name: format!("w{n}"),
         address: EndpointAddress::Network(listener.local_addr().unwrap().to_string()),
@@ -60,17 +66,17 @@
     [(); N].map(|()| Listener::bind("127.0.0.1:0").unwrap())
 }
 
-fn handed_in(n: u64) -> (LoopMessage, oneshot::Receiver<ClientResponse>) {
-    waiting(n, ClassId(0), Duration::from_secs(5))
+fn push_submission(n: u64) -> (LoopMessage, oneshot::Receiver<ClientResponse>) {
+    submission(n, ClassId(0), Duration::from_secs(5))
 }
 
-/// Plays the loop until the next thing is heard, and takes that in.
-async fn go_on(event_loop: &mut EventLoop, heard: &mut UnboundedReceiver<LoopMessage>) {
-    let next = tokio::time::timeout(Duration::from_secs(5), heard.recv()).await;
-    event_loop.handle_batch(&mut vec![next.expect("nothing is heard").unwrap()]);
+/// Waits for the next message and handles it.
+async fn handle_next(event_loop: &mut EventLoop, messages: &mut UnboundedReceiver<LoopMessage>) {
+    let message = tokio::time::timeout(Duration::from_secs(5), messages.recv()).await;
+    event_loop.handle_batch(&mut vec![message.expect("no message comes").unwrap()]);
 }
 
-fn accepted(listener: &Listener) -> TcpStream {
+fn accept(listener: &Listener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let end = Instant::now() + Duration::from_secs(5);
     loop {
@@ -79,28 +85,29 @@
                 stream.set_nonblocking(false).unwrap();
                 return stream;
             }
-            Err(e) => assert!(Instant::now() < end, "nobody came: {e}"),
+            Err(error) => assert!(Instant::now() < end, "no connection comes: {error}"),
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// What a next hop gets on a connection of its own, read off the loop.
-async fn asked(listener: &Listener) -> (TcpStream, String) {
+/// The next connection to an endpoint and the request on it, read beside the event loop.
+async fn next_request(listener: &Listener) -> (TcpStream, String) {
     let listener = listener.try_clone().unwrap();
     let read = tokio::task::spawn_blocking(move || {
-        let mut stream = accepted(&listener);
+        let mut stream = accept(&listener);
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
-        let mut part = [0; 4096];
-        let n = stream.read(&mut part).unwrap();
-        (stream, String::from_utf8_lossy(&part[..n]).into_owned())
+        let mut buffer = [0; 4096];
+        let length = stream.read(&mut buffer).unwrap();
+        let text = String::from_utf8_lossy(&buffer[..length]).into_owned();
+        (stream, text)
     });
     read.await.unwrap()
 }
 
-fn done(mut stream: &TcpStream, id: &str) {
+fn complete(mut stream: &TcpStream, id: &str) {
     let line =
         format!("{{\"id\":\"{id}\",\"from\":\"w\",\"state\":\"done\",\"result\":\"{id}\"}}\n");
     let length = line.len();
@@ -110,126 +117,124 @@
         .unwrap();
 }
 
-fn block_on(play: impl Future<Output = ()>) {
+/// Starts the attempt 9 at this endpoint, past the decisions.
+fn start_attempt(event_loop: &mut EventLoop, endpoint: EndpointId, listener: &Listener) {
+    let address = listener.local_addr().unwrap().to_string();
+    let options = AttemptOptions {
+        remaining: Duration::from_secs(5),
+        dedicated_connection: false,
+        write_by: None,
+    };
+    event_loop.start_attempt(AttemptId(9), endpoint, &address, &job(9), options);
+}
+
+fn block_on(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap()
-        .block_on(play);
+        .block_on(test);
 }
 
-// Guards against more sockets than there are: idle ones to all next hops added up past the limit,
-// and connections that the system had accepted for us could not be taken.
+// Idle connections to all endpoints must not add up past the limit: connections that the system has
+// accepted could not be taken any more.
 #[test]
-fn an_idle_connection_makes_room_for_a_branch_that_needs_a_socket() {
-    let upstreams = listeners::<3>();
-    let (mut event_loop, mut heard) = event_loop(2, &upstreams.each_ref());
+fn an_idle_connection_makes_room_for_an_attempt_that_needs_a_socket() {
+    let endpoints = listeners::<3>();
+    let (mut event_loop, mut messages) = event_loop(2, &endpoints.each_ref());
     block_on(async {
-        let mut answers = Vec::new();
-        // Two next hops at once, so that each has a connection; then both are idle.
+        let mut responses = Vec::new();
+        // Two endpoints at once, so that each has a connection; then both are idle.
         for n in 0..2 {
-            let (waiting, answered) = handed_in(n);
-            event_loop.handle_batch(&mut vec![waiting]);
-            answers.push(answered);
+            let (message, response) = push_submission(n);
+            event_loop.handle_batch(&mut vec![message]);
+            responses.push(response);
         }
         let mut streams = Vec::new();
-        for (n, endpoint) in upstreams[..2].iter().enumerate() {
-            let (stream, text) = asked(endpoint).await;
+        for (n, endpoint) in endpoints[..2].iter().enumerate() {
+            let (stream, text) = next_request(endpoint).await;
             assert!(text.contains(&format!("x-txn: t{n}")), "{text}");
             streams.push(stream);
         }
         assert_eq!(event_loop.upstreams.free_sockets(), 0);
-        done(&streams[0], "t0");
-        done(&streams[1], "t1");
-        for answered in &mut answers {
-            while answered.is_empty() {
-                go_on(&mut event_loop, &mut heard).await;
+        complete(&streams[0], "t0");
+        complete(&streams[1], "t1");
+        for response in &mut responses {
+            while response.is_empty() {
+                handle_next(&mut event_loop, &mut messages).await;
             }
-            assert!(matches!(answered.try_recv(), Ok(ClientResponse::Served(_))));
+            assert!(matches!(response.try_recv(), Ok(ClientResponse::Served(_))));
         }
-        // A third is reached: one of the idle ones goes, and is closed.
-        let address = upstreams[2].local_addr().unwrap().to_string();
-        let terms = AttemptOptions {
-            remaining: Duration::from_secs(5),
-            dedicated_connection: false,
-            write_by: None,
-        };
-        event_loop.start_attempt(AttemptId(9), EndpointId(2), &address, &job(9), terms);
-        let (_stream, text) = asked(&upstreams[2]).await;
+        // An attempt at a third: one of the idle connections is closed.
+        start_attempt(&mut event_loop, EndpointId(2), &endpoints[2]);
+        let (_stream, text) = next_request(&endpoints[2]).await;
         assert!(text.contains("x-txn: t9"), "{text}");
-        // The other one is kept open from its far side as well: one that closed is no longer in
-        // use.
+        // It is the first one. The endpoint still holds its end, and sees that it is closed.
         let mut first = streams.remove(0);
-        let gone = tokio::task::spawn_blocking(move || first.read(&mut [0]))
+        let closed = tokio::task::spawn_blocking(move || first.read(&mut [0]))
             .await
             .unwrap();
-        assert!(matches!(gone, Ok(0)), "{gone:?}");
+        assert!(matches!(closed, Ok(0)), "{closed:?}");
         assert!(event_loop.upstreams.len() == 2 && event_loop.upstreams.free_sockets() == 0);
     });
 }
 
-// Guards against a next hop that counts as failed because we had no socket left to reach it with,
-// and against a job that waits for one until its client has gone.
+// An endpoint must not count as failed because the dispatcher had no socket left, nor a request
+// wait for one until its client has disconnected.
 #[test]
-fn with_every_socket_in_use_a_job_is_answered_busy_and_no_next_hop_is_blamed() {
-    let upstreams = listeners::<2>();
-    let (mut event_loop, mut heard) = event_loop(1, &upstreams.each_ref());
+fn with_every_socket_in_use_a_request_is_shed_and_no_endpoint_is_blamed() {
+    let endpoints = listeners::<2>();
+    let (mut event_loop, mut messages) = event_loop(1, &endpoints.each_ref());
     block_on(async {
-        let [(first, _first_answer), (second, mut answered)] = [0, 1].map(handed_in);
+        let [(first, _first_response), (second, mut response)] = [0, 1].map(push_submission);
         event_loop.handle_batch(&mut vec![first]);
-        let (stream, _) = asked(&upstreams[0]).await;
+        let (stream, _) = next_request(&endpoints[0]).await;
         event_loop.handle_batch(&mut vec![second]);
-        // Each try ends at once, and as none.
-        while answered.is_empty() {
-            let ended = heard.try_recv();
-            let untried = AttemptOutcome::NotSent;
+        // Each attempt ends at once, and counts as not sent.
+        while response.is_empty() {
+            let ended = messages.try_recv();
+            let not_sent = AttemptOutcome::NotSent;
             assert!(
-                matches!(&ended, Ok(LoopMessage::Event(Event::AttemptEnded { outcome, .. })) if *outcome == untried),
+                matches!(&ended, Ok(LoopMessage::Event(Event::AttemptEnded { outcome, .. })) if *outcome == not_sent),
                 "{ended:?}"
             );
             event_loop.handle_batch(&mut vec![ended.unwrap()]);
         }
         assert!(matches!(
-            answered.try_recv(),
+            response.try_recv(),
             Ok(ClientResponse::Overloaded {
                 retry_after: Some(_)
             })
         ));
-        // Once the socket is free the second next hop is sent jobs like any other.
-        done(&stream, "t0");
+        // Once the socket is free, the second endpoint receives requests like any other.
+        complete(&stream, "t0");
         while !event_loop.attempts.is_empty() {
-            go_on(&mut event_loop, &mut heard).await;
+            handle_next(&mut event_loop, &mut messages).await;
         }
         drop(stream);
-        let address = upstreams[1].local_addr().unwrap().to_string();
-        let terms = AttemptOptions {
-            remaining: Duration::from_secs(5),
-            dedicated_connection: false,
-            write_by: None,
-        };
-        event_loop.start_attempt(AttemptId(9), EndpointId(1), &address, &job(9), terms);
-        assert!(asked(&upstreams[1]).await.1.contains("x-txn: t9"));
+        start_attempt(&mut event_loop, EndpointId(1), &endpoints[1]);
+        let (_stream, text) = next_request(&endpoints[1]).await;
+        assert!(text.contains("x-txn: t9"));
     });
 }
 
-// Guards against a job that is sent on for clients whose leaving is known, and stands in the queue
-// behind what would send it: they have left by the time that anything goes out.
+// Their disconnections stand in the queue behind the message that would send their requests.
 #[test]
-fn a_client_that_has_left_is_not_sent_on_by_what_stands_before_its_leaving() {
-    let upstreams = listeners::<1>();
-    let (mut event_loop, mut heard) = event_loop(8, &upstreams.each_ref());
+fn the_request_of_a_client_that_has_disconnected_is_not_sent() {
+    let endpoints = listeners::<1>();
+    let (mut event_loop, mut messages) = event_loop(8, &endpoints.each_ref());
     block_on(async {
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for n in 0..40 {
-            let (waiting, answered) = handed_in(n);
-            event_loop.handle_batch(&mut vec![waiting]);
-            answers.push(answered);
+            let (message, response) = push_submission(n);
+            event_loop.handle_batch(&mut vec![message]);
+            responses.push(response);
         }
-        let (stream, _) = asked(&upstreams[0]).await;
-        done(&stream, "t0");
-        // The end of the first is heard, and makes room for the next; behind it stand the leavings
-        // of all others.
-        let mut batch = vec![heard.recv().await.unwrap()];
+        let (stream, _) = next_request(&endpoints[0]).await;
+        complete(&stream, "t0");
+        // The end of the first attempt makes room for the next; behind it come the disconnections
+        // of all other clients.
+        let mut batch = vec![messages.recv().await.unwrap()];
         assert!(
             matches!(batch[0], LoopMessage::Event(Event::AttemptEnded { .. })),
             "{batch:?}"
@@ -239,9 +244,9 @@
                 handle: RequestHandle(n),
             })
         }));
-        let (unheard, _answered) = handed_in(99);
+        let (message, _response) = push_submission(99);
         batch.extend([
-            unheard,
+            message,
             LoopMessage::Event(Event::ClientDisconnected {
                 handle: RequestHandle(99),
             }),
@@ -253,95 +258,94 @@
         }
         // Neither on the connection that is kept nor on a new one.
         stream.set_nonblocking(true).unwrap();
-        let came = (&stream).read(&mut [0]).map_err(|e| e.kind());
+        let read = (&stream).read(&mut [0]).map_err(|error| error.kind());
         assert!(
-            matches!(came, Err(std::io::ErrorKind::WouldBlock)),
-            "{came:?}"
+            matches!(read, Err(std::io::ErrorKind::WouldBlock)),
+            "{read:?}"
         );
-        upstreams[0].set_nonblocking(true).unwrap();
-        assert!(upstreams[0].accept().is_err());
+        endpoints[0].set_nonblocking(true).unwrap();
+        assert!(endpoints[0].accept().is_err());
     });
 }
 
-// Guards against an alarm that is lost where something heard along with it sets the next one:
-// nothing was due any more until the next news, and clients had no answer in their time.
+// If the next timer were lost, nothing would be due until the next message, and clients would have
+// no response in time.
 #[test]
-fn what_is_heard_along_with_an_alarm_sets_the_next_one() {
-    let upstreams = listeners::<0>();
-    let (mut event_loop, _heard) = event_loop(8, &upstreams.each_ref());
-    let mut answers = Vec::new();
+fn a_message_that_is_handled_with_a_timer_sets_the_next_one() {
+    let endpoints = listeners::<0>();
+    let (mut event_loop, _messages) = event_loop(8, &endpoints.each_ref());
+    let mut responses = Vec::new();
     for n in 0..3 {
-        let (mut waiting, answered) = handed_in(n);
-        if let LoopMessage::Submitted { request, .. } = &mut waiting {
+        let (mut message, response) = push_submission(n);
+        if let LoopMessage::Submitted { request, .. } = &mut message {
             request.remaining = Duration::from_micros(3_000_000 - 500_000 * n);
         }
-        event_loop.on_timer(&mut vec![waiting]);
+        event_loop.on_timer(&mut vec![message]);
         assert!(event_loop.timer.is_some(), "{n}: nothing is ever due");
-        answers.push(answered);
+        responses.push(response);
     }
 }
 
-// Guards against memory that grows with every name of a next hop that was ever sent a job, and
-// against a connection to one that is gone which carries a job for the next.
+/// Endpoints that follow one another in the next test.
+const NAMES: usize = 1_500;
+
+// Memory must not grow with every name of an endpoint that was ever sent a request, nor a
+// connection to one that is gone carry a request for the next.
 #[test]
-fn next_hops_whose_names_come_and_go_are_let_go_of() {
-    const NAMES: usize = 1_500;
-    let upstreams = listeners::<1>();
-    let (mut event_loop, mut heard) = event_loop(8, &[]);
-    let listener = upstreams[0].try_clone().unwrap();
-    let server = std::thread::spawn(move || {
-        let mut first = None;
-        for n in 0..NAMES {
-            let mut stream = listener.accept().unwrap().0;
-            stream
-                .set_read_timeout(Some(Duration::from_secs(5)))
-                .unwrap();
-            let mut head = Vec::new();
-            while !head.ends_with(b"\r\n\r\n") {
-                let mut part = [0; 512];
-                let read = stream.read(&mut part).unwrap();
-                assert!(read > 0, "{n}");
-                head.extend_from_slice(&part[..read]);
-            }
-            let head = String::from_utf8(head).unwrap();
-            assert!(head.contains(&format!("x-txn: t{n}\r\n")), "{n}: {head}");
-            let line = format!("{{\"id\":\"t{n}\",\"state\":\"done\",\"result\":\"\"}}\n");
-            let end = if n == 0 { "" } else { "Connection: close\r\n" };
-            let head = format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n{end}\r\n",
-                line.len()
-            );
-            stream.write_all((head + &line).as_bytes()).unwrap();
-            // The first stays open. Whoever has its place is at its address, and comes on a
-            // connection of its own.
-            first.get_or_insert(stream);
-        }
-        assert_eq!(first.unwrap().read(&mut [0]).unwrap(), 0);
-    });
+fn endpoints_whose_names_come_and_go_are_dropped() {
+    let endpoints = listeners::<1>();
+    let (mut event_loop, mut messages) = event_loop(8, &[]);
+    let listener = endpoints[0].try_clone().unwrap();
+    let server = std::thread::spawn(move || serve_each_name(&listener));
     block_on(async {
         for n in 0..NAMES {
-            let update = EndpointListUpdate::Snapshot(vec![line(n, &upstreams[0])]);
-            event_loop.feed(Event::EndpointListUpdated {
-                source: EndpointSource::Discovery,
-                as_of: Timestamp::ORIGIN,
-                update,
-            });
-            let (waiting, mut answered) = handed_in(n as u64);
-            event_loop.handle_batch(&mut vec![waiting]);
-            while answered.is_empty() {
-                go_on(&mut event_loop, &mut heard).await;
+            list_endpoints(&mut event_loop, vec![endpoint(n, &endpoints[0])]);
+            let (message, mut response) = push_submission(n as u64);
+            event_loop.handle_batch(&mut vec![message]);
+            while response.is_empty() {
+                handle_next(&mut event_loop, &mut messages).await;
             }
             assert_eq!(
-                answered.try_recv(),
+                response.try_recv(),
                 Ok(ClientResponse::Served(Default::default())),
                 "{n}"
             );
             assert!(
                 event_loop.upstreams.len() <= 1_026,
-                "{n}: {} next hops are kept",
+                "{n}: {} endpoints are kept",
                 event_loop.upstreams.len()
             );
         }
     });
     server.join().unwrap();
 }
+
+/// Serves one request on each connection. The first one stays open: an endpoint that takes over the
+/// address has to come on a connection of its own.
+fn serve_each_name(listener: &Listener) {
+    let mut first = None;
+    for n in 0..NAMES {
+        let mut stream = listener.accept().unwrap().0;
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
+        let mut head = Vec::new();
+        while !head.ends_with(b"\r\n\r\n") {
+            let mut buffer = [0; 512];
+            let length = stream.read(&mut buffer).unwrap();
+            assert!(length > 0, "{n}");
+            head.extend_from_slice(&buffer[..length]);
+        }
+        let head = String::from_utf8(head).unwrap();
+        assert!(head.contains(&format!("x-txn: t{n}\r\n")), "{n}: {head}");
+        let line = format!("{{\"id\":\"t{n}\",\"state\":\"done\",\"result\":\"\"}}\n");
+        let close = if n == 0 { "" } else { "Connection: close\r\n" };
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n{close}\r\n",
+            line.len()
+        );
+        stream.write_all((head + &line).as_bytes()).unwrap();
+        first.get_or_insert(stream);
+    }
+    assert_eq!(first.unwrap().read(&mut [0]).unwrap(), 0);
+}
--- a/crates/net/tests/deployments.rs
+++ b/crates/net/tests/deployments.rs
@@ -1,8 +1,9 @@
-//! What further deployments bring along in their requests, played on loopback against stand-ins.
+//! Requests with idempotency keys, tenants, load reports and labels, as some deployments have them,
+//! against endpoints that the tests play.
 
 use pumiceway_test_support::Stage;
 
-/// Three classes, one of each kind of repeat; two tenants.
+/// Three classes: idempotent, non-idempotent, and with idempotency keys.
 const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
   "lanes":[{"name":"lookup","aim-us":120000,"deadline-us":5000000,"points":5.0,"semantics":"read_like"},
     {"name":"order","aim-us":500000,"deadline-us":15000000,"points":5.0,"semantics":"non_idempotent"},
@@ -10,14 +11,13 @@
      "dedup-scope":"zone","window-us":7500000}],
   "limits":{"most-tries":3,"cancel":true,"connect-timeout-us":250000,"conn-idle-us":10000000},"rules":{}}"#;
 
-fn play(hops: &[&str], script: &str) {
-    Stage::with_settings(hops, None, SETTINGS).go_on(script);
+fn play(endpoints: &[&str], script: &str) {
+    Stage::with_settings(endpoints, None, SETTINGS).go_on(script);
 }
 
-// Guards against a hold that a next hop can't tell from another one: it came without its key, or
-// with another.
+// Without its key, an endpoint could not tell a request from another one.
 #[test]
-fn a_keyed_job_keeps_its_key_byte_for_byte_on_each_attempt() {
+fn a_request_keeps_its_idempotency_key_byte_for_byte_on_each_attempt() {
     play(
         &["w1", "w2"],
         r"c send raw POST /hold/k7?x=%20 HTTP/1.1\r\nX-Txn: h1\r\nX-Remaining-Ms: 5000\r\nIdempotency-Key: aB~9/+=\t.\r\nContent-Length: 2\r\n\r\nab
@@ -28,7 +28,7 @@
           b expect POST /hold/k7?x=%20 x-txn:\x20h1 idempotency-key:\x20aB~9/+=\x09.
           b send done 7
           c expect 200 7
-          # A class that needs none passes on what its client sent, and nothing where it sent none.
+          # A class that needs no key forwards the one of its client, if there is one.
           c send raw POST /lookup/k HTTP/1.1\r\nX-Txn: l1\r\nX-Remaining-Ms: 5000\r\nidempotency-key: KEY\r\nContent-Length: 0\r\n\r\n
           b expect POST /lookup/k x-txn:\x20l1 idempotency-key:\x20KEY
           b send done 8
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_keyed_job_whose_key_is_missing_doubled_or_not_text_reaches_no_next_hop() {
+fn a_request_whose_idempotency_key_is_missing_doubled_or_not_text_reaches_no_endpoint() {
     let mut script = String::new();
     for (n, lines) in [
         r"",
@@ -66,7 +66,7 @@
     play(&["w1"], &script);
 }
 
-/// The same with more keys.
+/// The settings with further keys.
 fn settings(more: &str) -> String {
     SETTINGS.replacen('{', &format!("{{{more},"), 1)
 }
@@ -74,17 +74,18 @@
 const TENANTS: &str =
     r#""tenants":[{"name":"acme","quota-per-s":9},{"name":"other","quota-per-s":9}]"#;
 
-fn of(org: &str, id: &str) -> String {
+/// The step that sends a request with this header line.
+fn request(header: &str, id: &str) -> String {
     format!(
-        r"raw POST /lookup/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: 5000\r\n{org}Content-Length: 0\r\n\r\n"
+        r"raw POST /lookup/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: 5000\r\n{header}Content-Length: 0\r\n\r\n"
     )
 }
 
-// Guards against work that counts for nobody: a tenant that is mistyped, or one of two.
+// Its work would count towards no quota.
 #[test]
-fn a_tenant_that_the_settings_lack_or_that_comes_twice_reaches_no_next_hop() {
+fn a_request_whose_tenant_is_unknown_or_given_twice_reaches_no_endpoint() {
     let mut script = String::new();
-    for (n, org) in [
+    for (n, tenant) in [
         "X-Org: acne",
         "X-Org:",
         "X-Org: acme\\r\\nX-Org: acme",
@@ -95,10 +96,10 @@
     {
         script += &format!(
             "c{n} send {}\n c{n} expect 400\n c{n} expect end\n",
-            of(&format!("{org}\\r\\n"), &format!("t{n}"))
+            request(&format!("{tenant}\\r\\n"), &format!("t{n}"))
         );
     }
-    // The first that a next hop sees is one that can be used.
+    // The first request that the endpoint receives is a valid one.
     script += &format!(
         r"d send {}
           w1 wait a
@@ -109,21 +110,24 @@
           a expect POST /lookup/k x-txn:\x20t9
           a send done 2
           d expect 200 2",
-        of("X-Org: other\\r\\n", "t8"),
-        of("", "t9")
+        request("X-Org: other\\r\\n", "t8"),
+        request("", "t9")
     );
     Stage::with_settings(&["w1"], None, &settings(TENANTS)).go_on(&script);
 }
 
-// Guards against a header that means nothing at a site keeping its jobs out.
+// The header has no meaning there, and must not keep requests out.
 #[test]
-fn where_nobody_shares_the_workers_any_tenant_is_served() {
+fn in_a_deployment_without_tenants_any_tenant_is_served() {
     let mut script = String::new();
-    for (n, org) in ["X-Org: acne", "X-Org: a\\r\\nX-Org: b", "X-Org: \u{e9}"]
+    for (n, tenant) in ["X-Org: acne", "X-Org: a\\r\\nX-Org: b", "X-Org: \u{e9}"]
         .iter()
         .enumerate()
     {
-        script += &format!("c send {}\n", of(&format!("{org}\\r\\n"), &format!("t{n}")));
+        script += &format!(
+            "c send {}\n",
+            request(&format!("{tenant}\\r\\n"), &format!("t{n}"))
+        );
         script += if n == 0 { "w1 wait a\n" } else { "" };
         script += &format!(
             "a expect POST /lookup/k x-txn:\\x20t{n}\n a send done {n}\n c expect 200 {n}\n"
@@ -132,11 +136,11 @@
     play(&["w1"], &script);
 }
 
-// Guards against a report that is lost with the line that brought it: the next job went to the same
-// next hop, whose queue it had told of. In a job that was turned away it is seen in the tests of
-// next hops, as such a one is left alone for a while whatever it reports.
+// Without the report, the next request would go to the same endpoint, whose queue is long. The
+// report of a rejected request is covered by the tests of upstreams, as an endpoint that rejects is
+// not used for a while whatever it reports.
 #[test]
-fn the_load_report_of_a_job_that_is_done_or_failed_decides_where_the_next_one_goes() {
+fn the_load_report_of_a_completed_or_failed_request_decides_where_the_next_one_goes() {
     let reports = settings(r#""report":{"fields":["waiting","active","x0"],"via":"answers"}"#);
     for (state, status) in [("done", "200"), ("failed", "502")] {
         let script = format!(
@@ -157,9 +161,9 @@
     }
 }
 
-// Guards against a keyed job of a Gearman client that no next hop knows again.
+// An endpoint has to recognise the repeated job of a Gearman client.
 #[test]
-fn the_unique_id_of_a_gearman_job_is_its_key_on_each_attempt() {
+fn the_unique_id_of_a_gearman_job_is_its_idempotency_key_on_each_attempt() {
     play(
         &["w1", "w2"],
         r"g send [SUBMIT_JOB hold|u/1|body]
@@ -171,7 +175,7 @@
           b expect POST /hold/u%2F1 idempotency-key:\x20u%2F1 body
           b send done 7
           g expect [WORK_COMPLETE *|7]
-          # Without one its own id stands for it; a class that needs none has none.
+          # Without a unique id the job's own id is the key; a class that needs no key has none.
           g send [SUBMIT_JOB hold||body]
           g expect [JOB_CREATED *]
           b expect POST /hold/ idempotency-key:
@@ -185,10 +189,10 @@
     );
 }
 
-// Guards against a dispatcher of a large fleet that draws the time of its first call as if all of
-// them shared the agent beside it, which it then reads minutes late.
+// A dispatcher of a large fleet must not wait for a turn, as if all of them shared the agent beside
+// it.
 #[test]
-fn where_lists_are_pushed_the_agent_is_asked_from_the_first_moment() {
+fn where_lists_are_pushed_the_agent_is_called_at_once() {
     let pushed = settings(r#""discovery":"automatic","n-instances":10000"#);
     let mut stage = Stage::with_settings(&["w1", "discovery", "discovery2"], None, &pushed);
     stage.go_on(
@@ -198,7 +202,7 @@
            d send + {"index":2,"snapshot":false,"endpoints":[{"name":"w1","address":"","zone":"z","type":"k","status":"draining"}]}"#,
     );
     stage.until_listed("w1", "Draining");
-    // The same after a new configuration, and once an agent has broken off.
+    // The same after a new configuration, and once an agent has closed the connection.
     stage.reload("discovery2");
     stage.go_on(
         r"discovery2 wait e
@@ -209,10 +213,10 @@
     );
 }
 
-// Guards against a figure that the program has no use for keeping a job out, and against nonsense
-// that counts as 1.
+// A label that the dispatcher has no use for must not keep a request out, nor a malformed one count
+// as 1.
 #[test]
-fn further_figures_are_skipped_and_nonsense_is_turned_down() {
+fn unknown_labels_are_ignored_and_malformed_ones_are_rejected() {
     let mut script = String::new();
     for (n, labels) in ["slots", "slots=many", "memory=-1", "slots=1;memory=2"]
         .iter()
@@ -221,12 +225,12 @@
         let header = format!("X-Labels: {labels}\\r\\n");
         script += &format!(
             "c{n} send {}\n c{n} expect 400\n",
-            of(&header, &format!("t{n}"))
+            request(&header, &format!("t{n}"))
         );
     }
     script += &format!(
         "d send {}\n w1 wait a\n a expect POST /lookup/k x-txn:\\x20t9\n a send done 1\n d expect 200 1",
-        of(
+        request(
             "X-Labels: slots=1,memory=0.5, depth=3,\\r\\nX-Resent: 1\\r\\n",
             "t9"
         )
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -1,14 +1,15 @@
-//! The settings of two kinds of deployment, as they come out of the configuration's text.
+//! The settings of two kinds of deployment, as they are read from the text of a configuration.
 
 use pumiceway_decisions::api::{
-    DeduplicationScope, Idempotency, LoadReportSource, Settings, ZoneId,
+    Class, DeduplicationScope, Idempotency, LoadReportSource, Settings, ZoneId,
 };
 use pumiceway_decisions::settings::{DiscoveryMode, QueueOrder, WeightMeaning};
 use pumiceway_net::config::{Config, ConfigError};
 use std::time::Duration;
 
-/// The list is asked for, reports come with probes, nobody shares, queues are first in first out.
-const ASKED: &str = r#"{"clients":{"marks-retry":false},"discovery":"subscribe","domain-type":"jobs",
+/// Lists are polled, load reports come with health checks, there are no tenants, and endpoints queue
+/// first in first out.
+const POLLED: &str = r#"{"clients":{"marks-retry":false},"discovery":"subscribe","domain-type":"jobs",
   "family-info":{"class-kind":[-1,-1],"class-priority":[0,1],"class-stretch":[2.5,2.0],"progress-us":2000000,
     "queue-order":"fifo","report-x0":"free slots","report-x1":"free memory","tells-start":true},
   "goal":{"whole":0.4},"kinds":["four"],
@@ -25,8 +26,8 @@
     "drain-grace-us":500000,"fall-us":3000000,"tip-multiple":3.0},
   "tenants":[],"tier":0,"weights":"none","zones":["north","south"]}"#;
 
-/// Lists are pushed, reports come with answers, tenants have shares, weights live, queues go by
-/// priority, and one class carries a key that the workers of a zone know.
+/// Lists are pushed, load reports come with responses, tenants have quotas, weights are live,
+/// endpoints queue by priority, and one class has idempotency keys that are known within a zone.
 const PUSHED: &str = r#"{"discovery":"automatic",
   "family-info":{"class-kind":[-1,-1,-1],"class-priority":[0,0,1],"class-stretch":[2.5,2.0,2.0],"progress-us":0,
     "queue-order":"priority","tells-start":true},
@@ -43,82 +44,103 @@
   "tenants":[{"name":"t1","quota-per-s":30.5,"share":0.6},{"name":"t2","quota-per-s":20.0,"share":0.4}],
   "weights":"live","zones":["a","b","c"]}"#;
 
-fn read(settings: &str) -> Result<Config, ConfigError> {
+fn parse(settings: &str) -> Result<Config, ConfigError> {
     let text =
         format!(r#"{{"listen":"127.0.0.1:0","peers":["10.0.0.1:7"],"settings":{settings}}}"#);
     Config::from_text(&text, "config", |_| None)
 }
 
-/// All that differs between the two, each in a line.
-fn described(s: &Settings) -> Vec<(&'static str, String)> {
+/// The settings that differ between the two documents, by name.
+fn describe(settings: &Settings) -> Vec<(&'static str, String)> {
     let us = |span: Duration| span.as_micros();
-    let each =
-        |f: &dyn Fn(usize) -> String| (0..s.classes.len()).map(f).collect::<Vec<_>>().join(" ");
+    let each_class = |describe: &dyn Fn(&Class) -> String| {
+        let classes = settings.classes.iter().map(describe);
+        classes.collect::<Vec<_>>().join(" ")
+    };
     vec![
         (
             "polled",
-            format!("{} within {}", s.polls_discovery, us(s.max_poll_interval)),
+            format!(
+                "{} within {}",
+                settings.polls_discovery,
+                us(settings.max_poll_interval)
+            ),
         ),
-        ("reports", format!("{:?}", s.load_reports)),
+        ("reports", format!("{:?}", settings.load_reports)),
         (
             "instance",
-            format!("{} of {}", s.instance_index, s.instance_count),
+            format!("{} of {}", settings.instance_index, settings.instance_count),
         ),
         (
             "zones",
-            format!("{} home {:?}", s.zone_count, s.home_zone.map(|z| z.0)),
+            format!(
+                "{} home {:?}",
+                settings.zone_count,
+                settings.home_zone.map(|zone| zone.0)
+            ),
         ),
-        ("kinds", s.kind_count.to_string()),
+        ("kinds", settings.kind_count.to_string()),
         (
             "tenants",
             format!(
                 "{:?}",
-                s.tenants
+                settings
+                    .tenants
                     .iter()
-                    .map(|t| t.quota_per_second)
+                    .map(|tenant| tenant.quota_per_second)
                     .collect::<Vec<_>>()
             ),
         ),
-        ("over quota", s.over_quota_weight.to_string()),
+        ("over quota", settings.over_quota_weight.to_string()),
         (
             "priority",
-            each(&|n| s.classes[n].queue_priority.to_string()),
+            each_class(&|class| class.queue_priority.to_string()),
         ),
         (
             "stretch",
-            each(&|n| s.classes[n].objective_stretch.to_string()),
+            each_class(&|class| class.objective_stretch.to_string()),
         ),
         (
             "weight",
-            each(&|n| s.classes[n].priority_weight.to_string()),
+            each_class(&|class| class.priority_weight.to_string()),
         ),
-        ("deadline", each(&|n| us(s.classes[n].deadline).to_string())),
-        ("attempts", s.max_attempts.to_string()),
-        ("idle", us(s.connection_idle_timeout).to_string()),
+        (
+            "deadline",
+            each_class(&|class| us(class.deadline).to_string()),
+        ),
+        ("attempts", settings.max_attempts.to_string()),
+        ("idle", us(settings.connection_idle_timeout).to_string()),
         (
             "progress",
-            format!("{} {}", s.reports_start, us(s.progress_interval)),
+            format!(
+                "{} {}",
+                settings.reports_start,
+                us(settings.progress_interval)
+            ),
         ),
         (
             "slow start",
             format!(
                 "{} {} {} {}",
-                s.slow_start_share,
-                us(s.slow_start_duration),
-                s.overload_multiple,
-                us(s.overload_window)
+                settings.slow_start_share,
+                us(settings.slow_start_duration),
+                settings.overload_multiple,
+                us(settings.overload_window)
             ),
         ),
         (
             "prices",
-            format!("{} {}", s.prices.cross_zone, s.prices.health_check),
+            format!(
+                "{} {}",
+                settings.prices.cross_zone, settings.prices.health_check
+            ),
         ),
-        ("queued", s.max_queued.to_string()),
+        ("queued", settings.max_queued.to_string()),
     ]
 }
 
 #[test]
-fn both_kinds_of_settings_are_read_in_every_respect() {
+fn both_kinds_of_deployment_are_read_in_every_respect() {
     let expected = [
         ("polled", "true within 9000000", "false within 0"),
         ("reports", "HealthChecks", "Responses"),
@@ -127,7 +149,7 @@
         ("kinds", "1", "2"),
         ("tenants", "[]", "[30.5, 20.0]"),
         ("over quota", "0.2", "0.1"),
-        // Priorities count where workers serve by them.
+        // Priorities count only where endpoints queue by them.
         ("priority", "0 0", "0 0 1"),
         ("stretch", "2.5 2", "2.5 2 2"),
         ("weight", "2 3", "5 5 15"),
@@ -143,31 +165,39 @@
         ("prices", "0.03 0.0015", "0.014 0.0018"),
         ("queued", "20000", "0"),
     ];
-    let (asked, pushed) = (read(ASKED).unwrap(), read(PUSHED).unwrap());
-    for (n, config) in [&asked, &pushed].into_iter().enumerate() {
-        for ((what, got), (name, first, second)) in described(&config.settings).iter().zip(expected)
+    let (polled, pushed) = (parse(POLLED).unwrap(), parse(PUSHED).unwrap());
+    for (n, config) in [&polled, &pushed].into_iter().enumerate() {
+        for ((setting, value), (name, first, second)) in
+            describe(&config.settings).iter().zip(expected)
         {
-            assert_eq!((*what, got.as_str()), (name, [first, second][n]));
+            assert_eq!((*setting, value.as_str()), (name, [first, second][n]));
         }
-        let s = &config.settings;
+        let settings = &config.settings;
         let us = |span: Duration| span.as_micros();
         assert!(
-            s.health_checks && s.cancellation && s.hedging && s.retry_after,
-            "{s:?}"
+            settings.health_checks
+                && settings.cancellation
+                && settings.hedging
+                && settings.retry_after,
+            "{settings:?}"
         );
         assert_eq!(
-            (us(s.connect_timeout), us(s.max_retry_after)),
+            (us(settings.connect_timeout), us(settings.max_retry_after)),
             (250_000, 2_000_000)
         );
         assert_eq!(
-            (s.classes[0].idempotency, s.classes[1].idempotency),
+            (
+                settings.classes[0].idempotency,
+                settings.classes[1].idempotency
+            ),
             (Idempotency::Idempotent, Idempotency::NonIdempotent)
         );
         assert!(
-            s.classes
+            settings
+                .classes
                 .iter()
-                .all(|c| c.allowed_zones.is_none() && c.allowed_kinds.is_none()),
-            "{s:?}"
+                .all(|class| class.allowed_zones.is_none() && class.allowed_kinds.is_none()),
+            "{settings:?}"
         );
     }
     assert_eq!(
@@ -177,36 +207,38 @@
             window: Duration::from_millis(7_500)
         }
     );
-    assert_eq!(asked.settings.load_reports, LoadReportSource::HealthChecks);
-    let (asked, pushed) = (asked.deployment, pushed.deployment);
+    assert_eq!(polled.settings.load_reports, LoadReportSource::HealthChecks);
+    let (polled, pushed) = (polled.deployment, pushed.deployment);
     assert_eq!(
-        (asked.discovery, pushed.discovery),
+        (polled.discovery, pushed.discovery),
         (DiscoveryMode::Polled, DiscoveryMode::Pushed)
     );
     assert_eq!(
-        (asked.weight_meaning, pushed.weight_meaning),
+        (polled.weight_meaning, pushed.weight_meaning),
         (WeightMeaning::None, WeightMeaning::Live)
     );
-    let orders = (asked.service.queue_order, pushed.service.queue_order);
-    assert_eq!(orders, (QueueOrder::Fifo, QueueOrder::Priority));
+    let queue_orders = (polled.service.queue_order, pushed.service.queue_order);
+    assert_eq!(queue_orders, (QueueOrder::Fifo, QueueOrder::Priority));
     assert_eq!(
         (pushed.zone(Some("c")), pushed.zone(Some("d"))),
         (Some(ZoneId(2)), None)
     );
     assert_eq!(
-        (pushed.tenant("t2").map(|t| t.0), pushed.tenant("t3")),
+        (
+            pushed.tenant("t2").map(|tenant| tenant.0),
+            pushed.tenant("t3")
+        ),
         (Some(1), None)
     );
     assert_eq!(
-        (asked.rules.drain_grace_us, pushed.rules.drain_grace_us),
+        (polled.rules.drain_grace_us, pushed.rules.drain_grace_us),
         (500_000, 500_000)
     );
 }
 
-// Guards against a wrong value whose message leaves its key to be guessed.
 #[test]
-fn a_wrong_value_names_its_key() {
-    let wrong = [
+fn the_error_of_a_wrong_value_names_its_key() {
+    let cases = [
         (
             r#""discovery":"automatic""#,
             r#""discovery":"pull""#,
@@ -256,16 +288,16 @@
             "settings.rules.drain-grace-us",
         ),
     ];
-    for (good, bad, key) in wrong {
-        assert_eq!(PUSHED.matches(good).count(), 1, "{good}");
-        let fault = read(&PUSHED.replace(good, bad)).unwrap_err();
+    for (valid, wrong, key) in cases {
+        assert_eq!(PUSHED.matches(valid).count(), 1, "{valid}");
+        let error = parse(&PUSHED.replace(valid, wrong)).unwrap_err();
         assert!(
-            matches!(&fault, ConfigError::Key { key: named, .. } if named == key),
-            "{bad}: {fault}"
+            matches!(&error, ConfigError::Key { key: named, .. } if named == key),
+            "{wrong}: {error}"
         );
     }
     let lanes = PUSHED.find(r#""lanes""#).unwrap()..PUSHED.find(r#""limits""#).unwrap();
-    let none = PUSHED.replace(&PUSHED[lanes], r#""lanes":[],"#);
-    let fault = read(&none).unwrap_err();
-    assert!(fault.to_string().starts_with("settings.lanes: "), "{fault}");
+    let without_classes = PUSHED.replace(&PUSHED[lanes], r#""lanes":[],"#);
+    let error = parse(&without_classes).unwrap_err();
+    assert!(error.to_string().starts_with("settings.lanes: "), "{error}");
 }
--- /dev/null
+++ b/crates/net/tests/watches/versions.rs
@@ -0,0 +1,94 @@
+//! Lists whose versions are lower than those before.
+
+use crate::support::{SOON, WATCH_OPENED, next_call, polling_stage, run_with_draws, watcher};
+use pumiceway_core::EndpointListUpdate;
+use pumiceway_test_support::{endpoint_line as line, listing};
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+#[test]
+fn neither_an_older_list_nor_a_delta_to_it_takes_a_drain_back() {
+    let mut stage = polling_stage(&["w1", "w2", "discovery"]);
+    let ready = |endpoint: &str| line(endpoint, 1, "ready");
+    stage.go_on(&format!(
+        "{WATCH_OPENED}
+         d send + {}
+         d close
+         discovery wait e
+         e expect GET /api/targets?stream=1&index=9
+         e send 200
+         e send + {}",
+        listing(9, false, &[line("w1", 1, "draining")]),
+        listing(3, true, &[ready("w1"), ready("w2"), ready("w3")]),
+    ));
+    stage.until_listed("w3", "Ready");
+    stage.until_listed("w1", "Draining");
+    // The same once more, from a watch that begins at that version.
+    stage.go_on(&format!(
+        "e close
+         discovery wait f
+         f expect GET /api/targets?stream=1&index=3
+         f send 200
+         f send + {}",
+        listing(3, true, &[ready("w1"), ready("w2"), ready("w4")]),
+    ));
+    stage.until_listed("w4", "Ready");
+    stage.until_listed("w1", "Draining");
+    // A service that lags behind itself sends such a delta until it has caught up: it is still
+    // behind the version that drained the endpoint.
+    stage.go_on(&format!(
+        "f send + {}",
+        listing(4, false, &[ready("w1"), ready("w5")])
+    ));
+    stage.until_listed("w5", "Ready");
+    stage.until_listed("w1", "Draining");
+}
+
+// A discovery that has restarted its versions must not count as one that lags behind for ever, nor
+// the other way round.
+#[test]
+fn a_discovery_whose_versions_stay_lower_is_accepted_after_a_while() {
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (mut watcher, mut updates) = watcher(&discovery, 1);
+    watcher.renumbered_after = Duration::from_millis(1_500);
+    run_with_draws(watcher, &[0.05]);
+    std::thread::spawn(move || {
+        let mut before = next_call(&discovery, SOON).unwrap();
+        before
+            .peer
+            .send(&format!("json {}", listing(9, false, &[])));
+        loop {
+            let mut call = next_call(&discovery, SOON).unwrap();
+            let list = if call.request.contains("stream=1") {
+                listing(4, false, &[])
+            } else {
+                listing(4, true, &[line("w1", 1, "ready")])
+            };
+            call.peer.send(&format!("json {list}"));
+        }
+    });
+    assert_eq!(
+        updates.blocking_recv().unwrap().update,
+        EndpointListUpdate::Delta(vec![])
+    );
+    let begun = Instant::now();
+    loop {
+        let update = updates.blocking_recv().unwrap().update;
+        assert!(begun.elapsed() < SOON, "it is never accepted");
+        match update {
+            EndpointListUpdate::Lost(_)
+            | EndpointListUpdate::OutdatedDelta(_)
+            | EndpointListUpdate::OutdatedSnapshot(_) => {}
+            EndpointListUpdate::Snapshot(endpoints) => {
+                assert!(
+                    begun.elapsed() >= Duration::from_millis(1_500),
+                    "{:?}",
+                    begun.elapsed()
+                );
+                assert_eq!(endpoints.len(), 1);
+                break;
+            }
+            update => panic!("{update:?}"),
+        }
+    }
+}
--- a/crates/net/tests/zookeeper.rs
+++ b/crates/net/tests/zookeeper.rs
@@ -1,4 +1,5 @@
-//! The route set in ZooKeeper, against a stand-in that speaks as much of its protocol as is needed.
+//! Endpoints registered in ZooKeeper, against a test double that implements the needed part of its
+//! protocol.
 
 use pumiceway_net::config::ZooKeeperConfig;
 use pumiceway_test_support::{Peer, Stage};
@@ -10,29 +11,50 @@
 
 const PATH: &str = "/pumiceway/workers";
 
-/// A server with one flat folder of ephemeral nodes, whose watchers hear of every change.
+/// A list that is not confirmed is used for 6 s.
+const LONGER_THAN_LEASE: Duration = Duration::from_millis(6_500);
+
+/// Operations of the protocol.
+const GET_DATA: i32 = 4;
+const GET_CHILDREN: i32 = 8;
+const PING: i32 = 11;
+const GET_CHILDREN_2: i32 = 12;
+const ADD_WATCH: i32 = 106;
+
+/// Errors of the protocol.
+const NO_NODE: i32 = -101;
+const UNIMPLEMENTED: i32 = -6;
+
+/// Events of the protocol, and the state of a connected session.
+const NODE_CREATED: i32 = 1;
+const NODE_DELETED: i32 = 2;
+const SYNC_CONNECTED: i32 = 3;
+
+/// An ensemble with one directory of ephemeral nodes, whose watchers get every change.
 #[derive(Clone, Default)]
-struct Server(Arc<Mutex<State>>);
+struct Ensemble(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
     nodes: BTreeMap<String, String>,
     watchers: Vec<TcpStream>,
-    /// It reads what it is sent and answers nothing.
-    silent: bool,
+    /// It reads requests and responds to none.
+    is_silent: bool,
 }
 
-/// Strings and buffers go with their length in front.
+/// A string or buffer of the protocol, with its length in front.
 fn text(value: &str) -> Vec<u8> {
     [&(value.len() as i32).to_be_bytes()[..], value.as_bytes()].concat()
 }
 
+/// A message of the protocol, with its length in front.
 fn frame(parts: &[&[u8]]) -> Vec<u8> {
     let body = parts.concat();
     [&(body.len() as i32).to_be_bytes()[..], &body].concat()
 }
 
-/// czxid, mzxid, ctime, mtime, versions, owner, lengths and pzxid.
+/// The metadata of a node: czxid, mzxid, ctime, mtime, three versions, owner, length of the data,
+/// number of children, pzxid.
 fn stat(children: i32) -> Vec<u8> {
     let (long, int) = (
         |n: i64| n.to_be_bytes().to_vec(),
@@ -54,24 +76,29 @@
     .concat()
 }
 
-impl Server {
+impl Ensemble {
+    /// Starts to listen; returns the address.
     fn start(&self) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let server = self.clone();
+        let ensemble = self.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (server, stream) = (server.clone(), stream.unwrap());
-                std::thread::spawn(move || server.session(stream));
+                let (ensemble, stream) = (ensemble.clone(), stream.unwrap());
+                std::thread::spawn(move || ensemble.serve_session(stream));
             }
         });
         address
     }
 
-    /// A node comes, or goes as its session ends; watchers get an event.
+    /// Creates a node with this data or, without data, deletes it; watchers get an event.
     fn set(&self, name: &str, data: Option<String>) {
         let mut state = self.0.lock().unwrap();
-        let kind: i32 = if data.is_some() { 1 } else { 2 };
+        let event_type = if data.is_some() {
+            NODE_CREATED
+        } else {
+            NODE_DELETED
+        };
         match data {
             Some(data) => drop(state.nodes.insert(name.to_owned(), data)),
             None => drop(state.nodes.remove(name)),
@@ -84,21 +111,23 @@
         ];
         let event = frame(&[
             &head.concat(),
-            &kind.to_be_bytes(),
-            &3i32.to_be_bytes(),
+            &event_type.to_be_bytes(),
+            &SYNC_CONNECTED.to_be_bytes(),
             &path,
         ]);
-        state.watchers.retain_mut(|w| w.write_all(&event).is_ok());
+        state
+            .watchers
+            .retain_mut(|watcher| watcher.write_all(&event).is_ok());
     }
 
-    /// Ends every session without a word.
+    /// Closes every connection that has a watch.
     fn drop_sessions(&self) {
         for watcher in self.0.lock().unwrap().watchers.drain(..) {
             let _ = watcher.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    fn session(&self, mut stream: TcpStream) {
+    fn serve_session(&self, mut stream: TcpStream) {
         let mut read = || {
             let mut size = [0; 4];
             stream.read_exact(&mut size).ok()?;
@@ -106,7 +135,7 @@
             stream.read_exact(&mut body).ok()?;
             Some((body, stream.try_clone().ok()?))
         };
-        // The first request opens the session: protocol, last zxid, time-out, session id, password.
+        // The first request opens the session: protocol, last zxid, timeout, session id, password.
         let Some((connect, mut out)) = read() else {
             return;
         };
@@ -121,7 +150,7 @@
         ]));
         while let Some((request, mut out)) = read() {
             let mut state = self.0.lock().unwrap();
-            if state.silent {
+            if state.is_silent {
                 continue;
             }
             let (xid, operation) = (
@@ -132,16 +161,14 @@
                 || String::from_utf8_lossy(&request[12..12 + request[11] as usize]).into_owned();
             let mut error = 0i32;
             let body = match operation {
-                // addWatch, ping
-                106 => {
+                ADD_WATCH => {
                     state.watchers.push(out.try_clone().unwrap());
                     vec![]
                 }
-                11 => vec![],
-                // getChildren and getChildren2
-                8 | 12 => {
-                    let names: Vec<_> = state.nodes.keys().map(|n| text(n)).collect();
-                    let stat = if operation == 12 {
+                PING => vec![],
+                GET_CHILDREN | GET_CHILDREN_2 => {
+                    let names: Vec<_> = state.nodes.keys().map(|name| text(name)).collect();
+                    let stat = if operation == GET_CHILDREN_2 {
                         stat(names.len() as i32)
                     } else {
                         vec![]
@@ -153,16 +180,15 @@
                     ]
                     .concat()
                 }
-                // getData
-                4 => match state.nodes.get(path().rsplit('/').next().unwrap()) {
+                GET_DATA => match state.nodes.get(path().rsplit('/').next().unwrap()) {
                     Some(data) => [text(data), stat(0)].concat(),
                     None => {
-                        error = -101;
+                        error = NO_NODE;
                         vec![]
                     }
                 },
                 _ => {
-                    error = -6;
+                    error = UNIMPLEMENTED;
                     vec![]
                 }
             };
@@ -174,8 +200,8 @@
     }
 }
 
-/// Looks at the route set until it shows this line; it may take a few looks.
-fn until(stage: &Stage, line: &str) {
+/// Waits until the endpoint list of the console has this line.
+fn wait_until_listed(stage: &Stage, line: &str) {
     for _ in 0..400 {
         let mut console = Peer::new(TcpStream::connect(stage.gearman).unwrap());
         console.send(r"raw routes\n");
@@ -184,83 +210,68 @@
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("the route set never showed {line:?}");
+    panic!("the endpoint list never has {line:?}");
 }
 
-/// A client's request is served by this hop.
-fn serves(stage: &mut Stage, hop: &str, id: &str) {
+/// A client's request is served by this endpoint.
+fn expect_served(stage: &mut Stage, endpoint: &str, id: &str) {
     stage.go_on(&format!(
         "c send POST /rate-push/k {id} 5000 x
-         {hop} wait {hop}{id}
-         {hop}{id} expect POST /rate-push/k {id}
-         {hop}{id} send done {id}
+         {endpoint} wait {endpoint}{id}
+         {endpoint}{id} expect POST /rate-push/k {id}
+         {endpoint}{id} send done {id}
          c expect 200 {id}"
     ));
 }
 
-// Guards against a worker that is sent jobs after its ephemeral node has gone, and against a
-// session that ends.
-#[test]
-fn an_ephemeral_node_is_a_next_hop_for_as_long_as_it_is_there() {
-    let server = Server::default();
-    let (servers, session_timeout) = (server.start(), Duration::from_secs(6));
-    let mut stage = Stage::with(
-        &["w1", "w2"],
-        Some(ZooKeeperConfig {
-            servers,
-            path: PATH.to_owned(),
-            session_timeout,
-        }),
-    );
+/// A dispatcher that discovery has sent these endpoints, and that follows this ensemble.
+fn stage(endpoints: &[&str], ensemble: &Ensemble, session_timeout: Duration) -> Stage {
+    let config = ZooKeeperConfig {
+        servers: ensemble.start(),
+        path: PATH.to_owned(),
+        session_timeout,
+    };
+    Stage::with(endpoints, Some(config))
+}
+
+/// An endpoint `z1` of the stage, which registers the node `aa`.
+fn register(stage: &mut Stage, ensemble: &Ensemble) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     stage.add("z1", listener);
-    // What discovery lists is another source's, and stays.
-    server.set(
-        "aa",
-        Some(format!(
-            r#"{{"address":"{address}","zone":"z","type":"k"}}"#
-        )),
-    );
-    server.set("bad", Some("nonsense".to_owned()));
-    until(&stage, "aa\tReady");
-    until(&stage, "w1\tReady");
-    serves(&mut stage, "z1", "t1");
-    server.drop_sessions();
-    server.set("aa", None);
-    until(&stage, "aa\tGone");
-    serves(&mut stage, "w1", "t2");
+    let data = format!(r#"{{"address":"{address}","zone":"z","type":"k"}}"#);
+    ensemble.set("aa", Some(data));
 }
 
-// Guards against an ensemble that says nothing any more: what it listed last stood for as long as
-// the program ran.
+// Nothing is sent to an endpoint whose node has gone, also while sessions end.
 #[test]
-fn a_node_is_used_only_while_the_ensemble_answers() {
-    let server = Server::default();
-    // Longer than the list may be used: the session itself does not end before that.
-    let (servers, session_timeout) = (server.start(), Duration::from_secs(60));
-    let mut stage = Stage::with(
-        &["w1"],
-        Some(ZooKeeperConfig {
-            servers,
-            path: PATH.to_owned(),
-            session_timeout,
-        }),
-    );
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    stage.add("z1", listener);
-    server.set(
-        "aa",
-        Some(format!(
-            r#"{{"address":"{address}","zone":"z","type":"k"}}"#
-        )),
-    );
-    until(&stage, "aa\tReady");
-    // For longer than its list holds without being confirmed.
-    std::thread::sleep(Duration::from_millis(6_500));
-    serves(&mut stage, "z1", "t1");
-    server.0.lock().unwrap().silent = true;
-    std::thread::sleep(Duration::from_millis(6_500));
-    serves(&mut stage, "w1", "t2");
+fn an_ephemeral_node_is_an_endpoint_for_as_long_as_it_exists() {
+    let ensemble = Ensemble::default();
+    let mut stage = stage(&["w1", "w2"], &ensemble, Duration::from_secs(6));
+    // The endpoints of discovery are another source's, and stay.
+    register(&mut stage, &ensemble);
+    ensemble.set("bad", Some("nonsense".to_owned()));
+    wait_until_listed(&stage, "aa\tReady");
+    wait_until_listed(&stage, "w1\tReady");
+    expect_served(&mut stage, "z1", "t1");
+    ensemble.drop_sessions();
+    ensemble.set("aa", None);
+    wait_until_listed(&stage, "aa\tGone");
+    expect_served(&mut stage, "w1", "t2");
+}
+
+// The last list of an ensemble that is silent must not be used without end.
+#[test]
+fn a_node_is_used_only_while_the_ensemble_responds() {
+    let ensemble = Ensemble::default();
+    // Longer than the lease of the list: the session itself does not end before that.
+    let mut stage = stage(&["w1"], &ensemble, Duration::from_secs(60));
+    register(&mut stage, &ensemble);
+    wait_until_listed(&stage, "aa\tReady");
+    // Longer than the lease of a list that is not confirmed.
+    std::thread::sleep(LONGER_THAN_LEASE);
+    expect_served(&mut stage, "z1", "t1");
+    ensemble.0.lock().unwrap().is_silent = true;
+    std::thread::sleep(LONGER_THAN_LEASE);
+    expect_served(&mut stage, "w1", "t2");
 }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -12,7 +12,7 @@
 //! deadline = "20 s"
 //! "#;
 //! let config = pumiceway_site::read(text, "site.toml")?;
-//! assert_eq!(config.conf.lanes[0].deadline_us, 20_000_000);
+//! assert_eq!(config.deployment.lanes[0].deadline_us, 20_000_000);
 //!
 //! let wrong = text.replace("20 s", "20 sacks");
 //! let why = pumiceway_site::read(&wrong, "site.toml").unwrap_err().to_string();
