--- /dev/null
+++ b/crates/net/src/frontend/admission/connection.rs
@@ -0,0 +1,271 @@
+//! The state of one client connection: its phase, and the timeout of that phase.
+//!
+//! The tasks that serve a connection, evict it and close it share this state. Each phase has its
+//! own timeout, which starts when the connection enters the phase.
+
+use super::close::{EndReason, FinalResponse};
+use super::framing::{FramingError, MessageFraming};
+use std::io;
+use std::sync::{Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// Time to receive a whole request, from the opening of the connection or from the first byte of a
+/// later request.
+pub const REQUEST: Duration = Duration::from_secs(2);
+/// Time for the client to take a whole response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that a connection may stay open between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Time to wait for a response. Longer than any request may take: the core limits it.
+const AWAITING_RESPONSE_TIMEOUT: Duration = Duration::from_secs(48 * 60 * 60);
+/// Time for the client to read the last response and to close its side.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes outside any request that are discarded before the connection is ended.
+const MAX_DISCARDED_BYTES: usize = 4 << 20;
+/// Age at which a connection without a whole request may be evicted.
+const MIN_AGE_WITHOUT_REQUEST: Duration = Duration::from_millis(50);
+/// Idle time after which a connection that has carried a request may be evicted.
+const MIN_IDLE_AFTER_REQUEST: Duration = Duration::from_secs(1);
+
+/// The phase of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionPhase {
+    /// The first request is incomplete.
+    FirstRequest,
+    /// Between two requests.
+    Idle,
+    /// A later request is incomplete.
+    ReadingRequest,
+    /// A request was submitted and has no response.
+    AwaitingResponse,
+    /// A response is being written.
+    WritingResponse,
+    /// The last response is written.
+    Closing,
+}
+
+impl ConnectionPhase {
+    fn timeout(self) -> Duration {
+        match self {
+            ConnectionPhase::FirstRequest | ConnectionPhase::ReadingRequest => REQUEST,
+            ConnectionPhase::Idle => IDLE_TIMEOUT,
+            ConnectionPhase::AwaitingResponse => AWAITING_RESPONSE_TIMEOUT,
+            ConnectionPhase::WritingResponse => RESPONSE_TIMEOUT,
+            ConnectionPhase::Closing => LINGER_TIMEOUT,
+        }
+    }
+
+    fn is_receiving_request(self) -> bool {
+        matches!(
+            self,
+            ConnectionPhase::FirstRequest | ConnectionPhase::ReadingRequest
+        )
+    }
+}
+
+/// Whether a connection is evicted for another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Eviction {
+    /// It may stay.
+    None,
+    /// It is closed with a final response, and lingers for the client to read it.
+    Graceful,
+    /// It no longer lingers.
+    Immediate,
+}
+
+/// How soon a connection is evicted: the smallest goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EvictionPriority {
+    rank: EvictionRank,
+    since: Instant,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    ClosingOrNeverUsed,
+    ReceivingRequest,
+    Idle,
+}
+
+/// A client connection that has a permit.
+pub struct ClientConnection {
+    state: Mutex<ConnectionState>,
+    eviction_changed: Notify,
+}
+
+struct ConnectionState {
+    phase: ConnectionPhase,
+    /// When the phase began.
+    since: Instant,
+    /// It has carried a whole request.
+    has_carried_request: bool,
+    eviction: Eviction,
+    /// Bytes outside any request that were received since the last response.
+    discarded_bytes: usize,
+    message: MessageFraming,
+}
+
+impl ConnectionState {
+    fn enter(&mut self, phase: ConnectionPhase) {
+        self.phase = phase;
+        self.since = Instant::now();
+    }
+}
+
+impl ClientConnection {
+    pub(super) fn new(now: Instant) -> ClientConnection {
+        ClientConnection {
+            state: Mutex::new(ConnectionState {
+                phase: ConnectionPhase::FirstRequest,
+                since: now,
+                has_carried_request: false,
+                eviction: Eviction::None,
+                discarded_bytes: 0,
+                message: MessageFraming::default(),
+            }),
+            eviction_changed: Notify::new(),
+        }
+    }
+
+    fn state(&self) -> MutexGuard<'_, ConnectionState> {
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    pub(super) fn enter(&self, phase: ConnectionPhase) {
+        self.state().enter(phase);
+    }
+
+    /// When the timeout of the current phase ends.
+    pub fn due(&self) -> Instant {
+        let state = self.state();
+        state.since + state.phase.timeout()
+    }
+
+    /// Records that a whole request was received: the connection now waits for its response.
+    pub fn holds(&self) {
+        let mut state = self.state();
+        state.enter(ConnectionPhase::AwaitingResponse);
+        state.has_carried_request = true;
+    }
+
+    /// Records that the response is about to be written.
+    pub fn response_started(&self) {
+        self.enter(ConnectionPhase::WritingResponse);
+    }
+
+    /// Records that all that was written has reached the operating system. After a response, the
+    /// connection is idle.
+    pub(super) fn flushed(&self) {
+        let mut state = self.state();
+        if state.phase == ConnectionPhase::WritingResponse {
+            state.enter(ConnectionPhase::Idle);
+            state.discarded_bytes = 0;
+            state.message = MessageFraming::default();
+        }
+    }
+
+    /// Records bytes that go to the HTTP parser.
+    pub(super) fn received(&self, bytes: &[u8]) {
+        let mut state = self.state();
+        if state.phase == ConnectionPhase::Idle && !bytes.is_empty() {
+            state.enter(ConnectionPhase::ReadingRequest);
+        }
+        state.message.observe(bytes);
+    }
+
+    /// Records bytes that were discarded because they belong to no request.
+    ///
+    /// # Errors
+    ///
+    /// `InvalidData` once more was discarded than is tolerated.
+    pub(super) fn discarded(&self, bytes: usize) -> io::Result<()> {
+        let mut state = self.state();
+        state.discarded_bytes += bytes;
+        if state.discarded_bytes > MAX_DISCARDED_BYTES {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        Ok(())
+    }
+
+    pub(super) fn is_awaiting_response(&self) -> bool {
+        self.state().phase == ConnectionPhase::AwaitingResponse
+    }
+
+    /// Whether nothing of a first request was received.
+    pub fn is_new(&self) -> bool {
+        let state = self.state();
+        state.phase == ConnectionPhase::FirstRequest && state.message.is_empty()
+    }
+
+    /// Checks the head of the current request.
+    ///
+    /// # Errors
+    ///
+    /// Why the request can be read in more than one way.
+    pub fn check_head(&self) -> Result<(), FramingError> {
+        self.state().message.check_head()
+    }
+
+    /// Whether more was received than the current request, whose body has `body_bytes`, if that is
+    /// known.
+    pub fn has_excess(&self, body_bytes: Option<u64>) -> bool {
+        let state = self.state();
+        state.discarded_bytes > 0 || state.message.has_excess(body_bytes)
+    }
+
+    /// Waits until the connection is evicted for another.
+    pub async fn wanted(&self) {
+        self.evicted(Eviction::Graceful).await;
+    }
+
+    pub(super) async fn evicted(&self, eviction: Eviction) {
+        while self.state().eviction < eviction {
+            self.eviction_changed.notified().await;
+        }
+    }
+
+    pub(super) fn evict(&self, eviction: Eviction) {
+        let mut state = self.state();
+        state.eviction = state.eviction.max(eviction);
+        self.eviction_changed.notify_one();
+    }
+
+    /// The response that the client still gets when its connection ends now.
+    pub fn final_response(&self, reason: EndReason) -> Option<FinalResponse> {
+        let state = self.state();
+        if !state.phase.is_receiving_request() {
+            return None;
+        }
+        match reason {
+            EndReason::TimedOut if state.message.is_empty() => None,
+            EndReason::TimedOut => Some(FinalResponse::RequestTimeout),
+            EndReason::Evicted | EndReason::ShuttingDown => Some(FinalResponse::Overloaded),
+            EndReason::Completed => None,
+        }
+    }
+
+    /// How soon the connection is evicted for another; `None` if it may not be.
+    pub(super) fn eviction_priority(&self, now: Instant) -> Option<EvictionPriority> {
+        let state = self.state();
+        let (rank, min_age) = match state.phase {
+            ConnectionPhase::Closing => (EvictionRank::ClosingOrNeverUsed, MIN_AGE_WITHOUT_REQUEST),
+            // It has asked for nothing but readiness.
+            ConnectionPhase::Idle if !state.has_carried_request => {
+                (EvictionRank::ClosingOrNeverUsed, Duration::ZERO)
+            }
+            ConnectionPhase::FirstRequest | ConnectionPhase::ReadingRequest => {
+                (EvictionRank::ReceivingRequest, MIN_AGE_WITHOUT_REQUEST)
+            }
+            ConnectionPhase::Idle => (EvictionRank::Idle, MIN_IDLE_AFTER_REQUEST),
+            ConnectionPhase::AwaitingResponse | ConnectionPhase::WritingResponse => return None,
+        };
+        let since = state.since;
+        let age = now.saturating_duration_since(since);
+        (age >= min_age).then_some(EvictionPriority { rank, since })
+    }
+}
--- a/crates/net/src/frontend/admission/tests.rs
+++ b/crates/net/src/frontend/admission/tests.rs
@@ -1,72 +1,82 @@
+use super::connection::ConnectionPhase;
+use super::framing::MessageFraming;
 use super::*;
+use std::time::Duration;
+use tokio::time::Instant;
 
-fn message(text: &str) -> Message {
-    let mut message = Message::default();
-    // In two parts, as bytes may come.
-    let (a, b) = text.as_bytes().split_at(text.len() / 2);
-    message.take(a);
-    message.take(b);
-    message
+fn framing_of(message: &str) -> MessageFraming {
+    let mut framing = MessageFraming::default();
+    // In two parts, as bytes may be received.
+    let (first, second) = message.as_bytes().split_at(message.len() / 2);
+    framing.observe(first);
+    framing.observe(second);
+    framing
 }
 
-// Guards against a body that hides a second request: what frames it twice, or what comes behind it.
+// A body that is framed twice, or has bytes behind it, may hide a second request.
 #[test]
-fn what_frames_a_body_twice_and_what_comes_behind_it_is_seen() {
+fn contradictory_framing_and_excess_bytes_are_detected() {
     let head = |lines: &str| format!("\r\nPOST /c/k HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
-    assert_eq!(message(&head("Content-Length: 2\r\n")).head_fault(), None);
     assert_eq!(
-        message(&head("TRANSFER-encoding: chunked\r\n")).head_fault(),
-        None
+        framing_of(&head("Content-Length: 2\r\n")).check_head(),
+        Ok(())
+    );
+    assert_eq!(
+        framing_of(&head("TRANSFER-encoding: chunked\r\n")).check_head(),
+        Ok(())
     );
     for lines in [
         "Content-Length: 2\r\ncontent-length: 2\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 2\r\n",
         "Content-Length: 2\nTransfer-Encoding: chunked\n",
     ] {
-        assert!(message(&head(lines)).head_fault().is_some(), "{lines}");
+        assert!(framing_of(&head(lines)).check_head().is_err(), "{lines}");
     }
     assert!(
-        message("POST /c/k#f HTTP/1.1\r\n\r\n")
-            .head_fault()
-            .is_some()
+        framing_of("POST /c/k#f HTTP/1.1\r\n\r\n")
+            .check_head()
+            .is_err()
+    );
+    assert!(
+        framing_of("POST /c/\u{e9} HTTP/1.1\r\n\r\n")
+            .check_head()
+            .is_err()
     );
     assert!(
-        message("POST /c/\u{e9} HTTP/1.1\r\n\r\n")
-            .head_fault()
-            .is_some()
+        framing_of("POST /c/k HTTP/1.1\r\nHost")
+            .check_head()
+            .is_err()
     );
-    assert!(message("POST /c/k HTTP/1.1\r\nHost").head_fault().is_some());
     let whole = head("Content-Length: 2\r\n") + "ab";
-    assert!(!message(&whole).excess(Some(2)));
-    assert!(message(&(whole + "POST")).excess(Some(2)));
+    assert!(!framing_of(&whole).has_excess(Some(2)));
+    assert!(framing_of(&(whole + "POST")).has_excess(Some(2)));
 }
 
-// Guards against those who hold connections and ask for nothing turning away those who do ask; and
-// against a request that is held, or has just begun, losing its connection to make room.
+// A connection whose request waits for a response, or has just begun, is never evicted.
 #[test]
-fn room_is_made_by_closing_what_holds_no_request() {
+fn connections_without_a_request_are_evicted_for_new_ones() {
     let (admission, start) = (Admission::new(3, 1), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
     let silent = admission.admit(at(1));
-    let holding = admission.admit(at(0));
-    holding.seat.holds();
-    let between = admission.admit(at(0));
-    between.seat.holds();
-    between.seat.go(At::Idle);
-    // None has been unused for long.
-    let turned_away = admission.admit(at(20));
-    assert_eq!(turned_away.room, Room::Busy);
+    let awaiting_response = admission.admit(at(0));
+    awaiting_response.seat.holds();
+    let idle = admission.admit(at(0));
+    idle.seat.holds();
+    idle.seat.enter(ConnectionPhase::Idle);
+    // None has been without a request for long enough.
+    let overload = admission.admit(at(20));
+    assert_eq!(overload.room, Room::Busy);
     assert_eq!(admission.admit(at(30)).room, Room::None);
-    drop(turned_away);
+    drop(overload);
     let third = admission.admit(at(60));
-    assert!(third.room == Room::Served && admission.held().seats.len() == 3);
-    // One that has asked for nothing but whether this is ready goes at once.
-    third.seat.go(At::Idle);
+    assert!(third.room == Room::Served && admission.admitted() == 3);
+    // One that has asked for nothing but readiness is evicted at once.
+    third.seat.enter(ConnectionPhase::Idle);
     let fourth = admission.admit(at(60));
     assert_eq!(fourth.room, Room::Served);
     fourth.seat.holds();
     drop((silent, third));
-    // The one between two requests goes next, then none can.
+    // The one between two requests is evicted next, then none can be.
     let last = admission.admit(Instant::now() + Duration::from_secs(5));
     last.seat.holds();
     assert_eq!(last.room, Room::Served);
--- /dev/null
+++ b/crates/net/src/frontend/http/connection.rs
@@ -0,0 +1,122 @@
+//! One connection: served by hyper until its requests, a timeout, an eviction or the shutdown end
+//! it, and then closed.
+
+use super::{Closing, closed};
+use crate::frontend::admission::{
+    self, ClientConnection, ConnectionPermit, EndReason, InspectedStream, poll_disconnected,
+};
+use axum::Router;
+use axum::body::Body;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use std::future::poll_fn;
+use std::pin::{Pin, pin};
+use std::sync::Arc;
+use std::task::{Context, Poll};
+use tokio::net::TcpStream;
+use tokio::time::{Sleep, sleep_until};
+use tower_service::Service as _;
+use tracing::debug;
+
+/// The largest head of a request.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+
+/// Serves a connection until it ends, and closes it. Without a router it is only closed.
+pub(super) async fn serve_connection(
+    stream: TcpStream,
+    router: Option<Router>,
+    permit: ConnectionPermit,
+    closing: Closing,
+) {
+    let connection = &permit.seat;
+    let _ = stream.set_nodelay(true);
+    let stream = Arc::new(stream);
+    let reason = match router {
+        Some(router) => serve_requests(&stream, router, connection, closing).await,
+        None => EndReason::Evicted,
+    };
+    debug!(
+        frontend = "http",
+        reason = reason.as_str(),
+        "connection closed"
+    );
+    let final_response = connection.final_response(reason);
+    admission::close(&stream, connection, final_response).await;
+}
+
+/// Serves the requests of a connection. Returns why it ends; it is still open then.
+async fn serve_requests(
+    stream: &Arc<TcpStream>,
+    router: Router,
+    connection: &Arc<ClientConnection>,
+    mut closing: Closing,
+) -> EndReason {
+    let service = service_fn(|request| call(router.clone(), connection.clone(), request));
+    let inspected = InspectedStream::new(stream.clone(), connection.clone());
+    let mut http = pin!(
+        http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(TokioIo::new(inspected), service)
+    );
+    let mut timeout = pin!(sleep_until(connection.due()));
+    let mut evicted = pin!(connection.wanted());
+    let mut closing = pin!(closed(&mut closing));
+    let mut is_closing = false;
+    poll_fn(|cx| {
+        // An error means that the client has disconnected, or does not speak HTTP: hyper has sent
+        // the response to that.
+        if http.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(EndReason::Completed);
+        }
+        if !is_closing && closing.as_mut().poll(cx).is_ready() {
+            is_closing = true;
+            // hyper would close it without a response, and the first request would be lost.
+            if connection.is_new() {
+                return Poll::Ready(EndReason::ShuttingDown);
+            }
+            http.as_mut().graceful_shutdown();
+            if http.as_mut().poll(cx).is_ready() {
+                return Poll::Ready(EndReason::Completed);
+            }
+        }
+        if poll_disconnected(stream, connection, cx).is_ready() {
+            return Poll::Ready(EndReason::Completed);
+        }
+        if evicted.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(EndReason::Evicted);
+        }
+        poll_timeout(timeout.as_mut(), connection, cx).map(|()| EndReason::TimedOut)
+    })
+    .await
+}
+
+/// Serves one request. The handlers find the connection in the extensions of the request.
+fn call(
+    mut router: Router,
+    connection: Arc<ClientConnection>,
+    request: hyper::Request<Incoming>,
+) -> impl Future<Output = Result<axum::response::Response, std::convert::Infallible>> {
+    let mut request = request.map(Body::new);
+    request.extensions_mut().insert(connection.clone());
+    let response = router.call(request);
+    async move {
+        let response = response.await;
+        connection.response_started();
+        response
+    }
+}
+
+/// Ready once the timeout of the current phase of the connection has ended.
+fn poll_timeout(
+    mut timeout: Pin<&mut Sleep>,
+    connection: &ClientConnection,
+    cx: &mut Context<'_>,
+) -> Poll<()> {
+    let due = connection.due();
+    if timeout.deadline() != due {
+        timeout.as_mut().reset(due);
+    }
+    timeout.poll(cx)
+}
--- /dev/null
+++ b/crates/net/src/frontend/http/request.rs
@@ -0,0 +1,333 @@
+//! Reading an HTTP request into a [`ClientRequest`].
+//!
+//! The head is checked before the body is read, so that a client learns early that its request is
+//! of no use. After an error the connection is closed: what follows such a request could be taken
+//! for another one.
+
+use crate::frontend::admission::{ClientConnection, FramingError};
+use axum::extract::{FromRequest, Request};
+use axum::http::{HeaderMap, Method, StatusCode, Uri, header};
+use axum::response::{IntoResponse, Response};
+use bytes::Bytes;
+use hyper::body::Body as _;
+use pumiceway_core::{ClientRequest, Job};
+use pumiceway_decisions::api::{ClassId, TenantId};
+use pumiceway_decisions::settings::{DeploymentSettings, RepeatSemantics};
+use std::sync::Arc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::time::timeout_at;
+
+/// The largest body of a request.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// Time before the request timeout at which an incomplete body is answered with an error.
+const BODY_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
+/// Longer remaining times are shortened to this.
+const MAX_REMAINING_MS: u64 = 24 * 60 * 60 * 1_000;
+/// The longest id of a request.
+const MAX_ID_BYTES: usize = 64;
+/// The largest value of a label.
+const MAX_LABEL_VALUE: f64 = 1e6;
+
+const CLASS_HEADER: &str = "x-lane";
+const ID_HEADER: &str = "x-txn";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const REMAINING_TIME_HEADER: &str = "x-remaining-ms";
+const TENANT_HEADER: &str = "x-org";
+const LABELS_HEADER: &str = "x-labels";
+
+/// Why a request is not submitted. The message is the body of the response.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum RequestError {
+    /// No route has this path.
+    #[error("no such path")]
+    UnknownPath,
+    /// It can be read in more than one way.
+    #[error(transparent)]
+    Framing(#[from] FramingError),
+    /// It is no `POST`.
+    #[error("jobs come by POST")]
+    MethodNotAllowed,
+    /// The settings have no such class.
+    #[error("unknown class")]
+    UnknownClass,
+    /// The header names another class than the path.
+    #[error("X-Lane and path name two classes")]
+    ContradictoryClass,
+    /// The id is missing or malformed.
+    #[error("X-Txn")]
+    InvalidId,
+    /// The class needs an idempotency key.
+    #[error("Idempotency-Key")]
+    MissingIdempotencyKey,
+    /// The remaining time is missing or malformed.
+    #[error("X-Remaining-Ms")]
+    InvalidRemainingTime,
+    /// The settings have no such tenant.
+    #[error("unknown tenant")]
+    UnknownTenant,
+    /// The labels are malformed.
+    #[error("X-Labels")]
+    InvalidLabels,
+    /// A header that must be unique is not.
+    #[error("a header comes twice")]
+    RepeatedHeader,
+    /// The value of a header is not text.
+    #[error("a header is not text")]
+    UnreadableHeader,
+    /// The body exceeds [`MAX_BODY_BYTES`].
+    #[error("a body holds 64 KiB at most")]
+    BodyTooLarge,
+    /// The body was not received in time.
+    #[error("the body took too long")]
+    BodyTimeout,
+    /// Reading the body has failed.
+    #[error("the body can't be read")]
+    UnreadableBody(StatusCode),
+    /// More was received than the body.
+    #[error("more came than Content-Length says")]
+    ExcessBytes,
+}
+
+impl RequestError {
+    fn status(self) -> StatusCode {
+        match self {
+            RequestError::UnknownPath => StatusCode::NOT_FOUND,
+            RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            RequestError::UnreadableBody(status) => status,
+            RequestError::Framing(_)
+            | RequestError::UnknownClass
+            | RequestError::ContradictoryClass
+            | RequestError::InvalidId
+            | RequestError::MissingIdempotencyKey
+            | RequestError::InvalidRemainingTime
+            | RequestError::UnknownTenant
+            | RequestError::InvalidLabels
+            | RequestError::RepeatedHeader
+            | RequestError::UnreadableHeader
+            | RequestError::ExcessBytes => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+impl IntoResponse for RequestError {
+    fn into_response(self) -> Response {
+        let headers = [(header::CONNECTION, "close")];
+        (self.status(), headers, self.to_string()).into_response()
+    }
+}
+
+/// Reads a request.
+///
+/// # Errors
+///
+/// The request is malformed, or was not received in time.
+pub(super) async fn read_request(
+    settings: &DeploymentSettings,
+    connection: &ClientConnection,
+    request: Request,
+) -> Result<ClientRequest, RequestError> {
+    connection.check_head()?;
+    if request.method() != Method::POST {
+        return Err(RequestError::MethodNotAllowed);
+    }
+    let head = RequestHead::parse(settings, request.uri(), request.headers())?;
+    let body = read_body(connection, request).await?;
+    Ok(head.with_body(body))
+}
+
+/// What the request line and the headers say.
+struct RequestHead {
+    class: ClassId,
+    path: String,
+    id: String,
+    idempotency_key: Option<String>,
+    remaining: Duration,
+    tenant: Option<TenantId>,
+    labels: Labels,
+}
+
+impl RequestHead {
+    fn parse(
+        settings: &DeploymentSettings,
+        uri: &Uri,
+        headers: &HeaderMap,
+    ) -> Result<RequestHead, RequestError> {
+        let class = parse_class(settings, uri, headers)?;
+        Ok(RequestHead {
+            class,
+            path: path_and_query(uri).to_owned(),
+            id: parse_id(headers)?,
+            idempotency_key: parse_idempotency_key(settings, class, headers)?,
+            remaining: parse_remaining(headers)?,
+            tenant: parse_tenant(settings, headers)?,
+            labels: Labels::parse(headers)?,
+        })
+    }
+
+    fn with_body(self, body: Bytes) -> ClientRequest {
+        ClientRequest {
+            class: self.class,
+            remaining: self.remaining,
+            slots: self.labels.slots,
+            memory: self.labels.memory,
+            tenant: self.tenant,
+            job: Arc::new(Job {
+                id: self.id,
+                path: self.path,
+                idempotency_key: self.idempotency_key,
+                body,
+            }),
+            unique_id: None,
+        }
+    }
+}
+
+fn path_and_query(uri: &Uri) -> &str {
+    uri.path_and_query()
+        .map_or(uri.path(), |path_and_query| path_and_query.as_str())
+}
+
+/// The class that the first segment of the path names.
+fn parse_class(
+    settings: &DeploymentSettings,
+    uri: &Uri,
+    headers: &HeaderMap,
+) -> Result<ClassId, RequestError> {
+    let path = uri.path().trim_start_matches('/');
+    let name = path.split('/').next().unwrap_or_default();
+    let class = settings.class(name).ok_or(RequestError::UnknownClass)?;
+    if single_header(headers, CLASS_HEADER)?.is_some_and(|header| header != name) {
+        return Err(RequestError::ContradictoryClass);
+    }
+    Ok(ClassId(class))
+}
+
+fn parse_id(headers: &HeaderMap) -> Result<String, RequestError> {
+    single_header(headers, ID_HEADER)?
+        .filter(|id| is_valid_id(id))
+        .map(str::to_owned)
+        .ok_or(RequestError::InvalidId)
+}
+
+fn is_valid_id(id: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(is_allowed)
+}
+
+fn parse_idempotency_key(
+    settings: &DeploymentSettings,
+    class: ClassId,
+    headers: &HeaderMap,
+) -> Result<Option<String>, RequestError> {
+    let key = single_header(headers, IDEMPOTENCY_KEY_HEADER)?;
+    let needs_key = matches!(settings.classes[class.0].repeats, RepeatSemantics::Keyed);
+    if needs_key && key.is_none_or(str::is_empty) {
+        return Err(RequestError::MissingIdempotencyKey);
+    }
+    Ok(key.map(str::to_owned))
+}
+
+fn parse_remaining(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let text =
+        single_header(headers, REMAINING_TIME_HEADER)?.ok_or(RequestError::InvalidRemainingTime)?;
+    // `parse` alone would accept a sign.
+    if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(RequestError::InvalidRemainingTime);
+    }
+    // Digits that do not parse are a number that is too large.
+    let milliseconds = text.parse().unwrap_or(MAX_REMAINING_MS);
+    Ok(Duration::from_millis(milliseconds.min(MAX_REMAINING_MS)))
+}
+
+/// The tenant; where the settings have none, the header means nothing and is not read.
+fn parse_tenant(
+    settings: &DeploymentSettings,
+    headers: &HeaderMap,
+) -> Result<Option<TenantId>, RequestError> {
+    if settings.tenants.is_empty() {
+        return Ok(None);
+    }
+    let Some(name) = single_header(headers, TENANT_HEADER)? else {
+        return Ok(None);
+    };
+    // A mistyped name is an error: its jobs would count for no tenant, and yield to all others.
+    let tenant = settings.tenant(name).ok_or(RequestError::UnknownTenant)?;
+    Ok(Some(tenant))
+}
+
+/// What a job needs of an endpoint.
+struct Labels {
+    slots: f64,
+    memory: f64,
+}
+
+impl Labels {
+    /// Parses `name=value` pairs that are separated by commas; unknown names are ignored.
+    fn parse(headers: &HeaderMap) -> Result<Labels, RequestError> {
+        let mut labels = Labels {
+            slots: 1.0,
+            memory: 0.0,
+        };
+        let text = single_header(headers, LABELS_HEADER)?.unwrap_or_default();
+        for label in text.split(',').filter(|label| !label.trim().is_empty()) {
+            let (name, value) = parse_label(label)?;
+            match name {
+                "slots" => labels.slots = check_label_value(value)?,
+                "memory" => labels.memory = check_label_value(value)?,
+                _ => {}
+            }
+        }
+        Ok(labels)
+    }
+}
+
+fn parse_label(label: &str) -> Result<(&str, f64), RequestError> {
+    let (name, value) = label.split_once('=').ok_or(RequestError::InvalidLabels)?;
+    let value = value
+        .trim()
+        .parse()
+        .map_err(|_| RequestError::InvalidLabels)?;
+    Ok((name.trim(), value))
+}
+
+fn check_label_value(value: f64) -> Result<f64, RequestError> {
+    if (0.0..=MAX_LABEL_VALUE).contains(&value) {
+        Ok(value)
+    } else {
+        Err(RequestError::InvalidLabels)
+    }
+}
+
+/// Reads the body, whose length is checked first: one that is too large is not waited for.
+async fn read_body(connection: &ClientConnection, request: Request) -> Result<Bytes, RequestError> {
+    let body_bytes = request.body().size_hint().exact();
+    if body_bytes.is_some_and(|bytes| bytes > MAX_BODY_BYTES as u64) {
+        return Err(RequestError::BodyTooLarge);
+    }
+    let deadline = connection.due() - BODY_TIMEOUT_MARGIN;
+    let body = timeout_at(deadline, Bytes::from_request(request, &()))
+        .await
+        .map_err(|_| RequestError::BodyTimeout)?
+        .map_err(|rejection| RequestError::UnreadableBody(rejection.status()))?;
+    if connection.has_excess(body_bytes) {
+        return Err(RequestError::ExcessBytes);
+    }
+    Ok(body)
+}
+
+/// The value of a header that must be unique: of two that contradict each other, an endpoint might
+/// use the other one.
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
+    let mut values = headers.get_all(name).iter();
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
+    if values.next().is_some() {
+        return Err(RequestError::RepeatedHeader);
+    }
+    let text = value.to_str().map_err(|_| RequestError::UnreadableHeader)?;
+    Ok(Some(text.trim()))
+}
--- /dev/null
+++ b/crates/net/src/frontend/http/routes.rs
@@ -0,0 +1,71 @@
+//! The routes: readiness, and the classes, to which clients submit jobs.
+
+use super::HttpFrontend;
+use super::request::{MAX_BODY_BYTES, RequestError, read_request};
+use super::response::into_http;
+use crate::frontend::admission::{ClientConnection, RETRY_AFTER_SECONDS};
+use axum::Router;
+use axum::extract::{DefaultBodyLimit, Extension, Request, State};
+use axum::http::{HeaderValue, StatusCode, header};
+use axum::response::{IntoResponse, Response};
+use axum::routing::{any, get};
+use hyper::body::Body as _;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+
+/// The routes of connections that are served.
+pub(super) fn router(frontend: HttpFrontend) -> Router {
+    Router::new()
+        .route("/-/ready", get(ready))
+        .route("/-/{*rest}", any(unknown_path))
+        .route("/{class}", any(submit))
+        .route("/{class}/{*key}", any(submit))
+        .fallback(unknown_path)
+        .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
+        .with_state(frontend)
+}
+
+/// Answers any request with an overload response.
+pub(super) fn overload_router() -> Router {
+    Router::new().fallback(too_many_connections)
+}
+
+async fn ready(State(frontend): State<HttpFrontend>) -> StatusCode {
+    if frontend.ready.load(Ordering::Relaxed) {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    }
+}
+
+async fn unknown_path() -> RequestError {
+    RequestError::UnknownPath
+}
+
+async fn too_many_connections() -> impl IntoResponse {
+    let headers = [
+        (header::RETRY_AFTER, RETRY_AFTER_SECONDS),
+        (header::CONNECTION, "close"),
+    ];
+    let body = "too many connections";
+    (StatusCode::SERVICE_UNAVAILABLE, headers, body)
+}
+
+async fn submit(
+    State(frontend): State<HttpFrontend>,
+    Extension(connection): Extension<Arc<ClientConnection>>,
+    request: Request,
+) -> Result<Response, RequestError> {
+    let body_bytes = request.body().size_hint().exact();
+    let request = read_request(&frontend.settings, &connection, request).await?;
+    connection.holds();
+    let response = frontend.events.submit(request, None).response().await;
+    let mut response = into_http(response);
+    // What the client has sent in the meantime is discarded, and may have begun another request.
+    if connection.has_excess(body_bytes) {
+        response
+            .headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    Ok(response)
+}
--- /dev/null
+++ b/crates/net/tests/http_attempts.rs
@@ -0,0 +1,158 @@
+//! Attempts at endpoints over HTTP: retries, hedging, cancellation and malformed responses, on
+//! loopback.
+
+use pumiceway_test_support::{SETTINGS, Stage};
+
+// The connection breaks after the last byte of the request was sent, so the import may have run.
+#[test]
+fn an_import_whose_connection_breaks_fails_and_a_push_is_retried() {
+    Stage::play(
+        &["w1", "w2"],
+        "c send POST /booking-import/k i1 5000 x
+         w1 wait a
+         a expect POST /booking-import/k i1
+         a close
+         c expect 502",
+    );
+    Stage::play(
+        &["w1", "w2"],
+        "c send POST /rate-push/k p1 5000 x
+         w1 wait a
+         a expect POST /rate-push/k p1
+         a close
+         w2 wait b
+         b expect POST /rate-push/k p1
+         b send done 7
+         c expect 200 7",
+    );
+}
+
+// An endpoint that drops idle connections when they are reused must not cost one import after the
+// other.
+#[test]
+fn an_import_gets_a_new_connection_once_an_idle_one_was_found_dead() {
+    Stage::play(
+        &["w1", "w2"],
+        "c send POST /rate-push/k t1 5000 x
+         w1 wait a
+         a expect POST /rate-push/k t1
+         a send done 1
+         c expect 200 1
+         c send POST /rate-push/k t2 5000 x
+         a expect POST /rate-push/k t2
+         a close
+         w2 wait b
+         b expect POST /rate-push/k t2
+         b send done 2
+         c expect 200 2
+         c send POST /booking-import/k i1 5000 x
+         w2 wait b2
+         b2 expect POST /booking-import/k i1
+         b2 send done 3
+         c expect 200 3",
+    );
+}
+
+#[test]
+fn a_push_that_does_not_start_is_hedged_and_its_first_attempt_cancelled() {
+    let settings = SETTINGS.replacen("\"second-copies\":false", "\"second-copies\":true", 1);
+    let mut stage = Stage::with_settings(&["w1", "w2"], None, &settings);
+    stage.go_on(
+        r#"c send POST /rate-push/k t1 5000 x
+           w1 wait a
+           a expect POST /rate-push/k t1
+           w2 wait b
+           b expect POST /rate-push/k t1
+           b send 200
+           b send + {"id":"t1","from":"w2","state":"started"}
+           a expect end
+           b send + {"id":"t1","from":"w2","state":"done","result":"2"}
+           b send .
+           c expect 200 2"#,
+    );
+}
+
+// A rejection by the endpoint proves that the import has not run.
+#[test]
+fn an_import_that_was_rejected_is_sent_to_another_endpoint() {
+    Stage::play(
+        &["w1", "w2"],
+        r"c send POST /booking-import/k i1 5000 x
+          w1 wait a
+          a expect POST /booking-import/k i1
+          a send raw HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n
+          w2 wait b
+          b expect POST /booking-import/k i1
+          b send done 9
+          c expect 200 9",
+    );
+}
+
+// After a plain 503 the import may have run: an overload response would invite a retry.
+#[test]
+fn an_import_with_an_error_or_a_malformed_line_fails() {
+    for response in [
+        r"raw HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+        r"raw HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nnonsense\n\r\n",
+        r#"raw HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2f\r\n{"id":"other","from":"w","state":"done","x":"y"}\n\r\n"#,
+    ] {
+        let script = format!(
+            "c send POST /booking-import/k i1 5000 x
+             w1 wait a
+             a expect POST /booking-import/k i1
+             a send {response}
+             c expect 502"
+        );
+        Stage::play(&["w1", "w2"], &script);
+    }
+}
+
+// hyper alone notices the disconnect only at the next line of the response.
+#[test]
+fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
+    Stage::play(
+        &["w1"],
+        r#"c send POST /rate-push/k t1 5000 x
+           w1 wait a
+           a expect POST /rate-push/k t1
+           a send 200
+           a send + {"id":"t1","from":"w1","state":"started"}
+           c close
+           a expect end"#,
+    );
+}
+
+#[test]
+fn an_attempt_ends_before_the_deadline_of_its_client() {
+    Stage::play(
+        &["w1"],
+        "c send POST /booking-import/k t1 1800 x
+         w1 wait a
+         a expect POST /booking-import/k t1
+         c expect 502
+         a expect end",
+    );
+}
+
+// A second last line must not be taken for the response to the next job.
+#[test]
+fn what_an_endpoint_sends_after_its_last_line_is_ignored() {
+    let last_line = r#"a send + {"id":"t1","from":"w1","state":"done","result":"1"}"#;
+    Stage::play(
+        &["w1"],
+        &format!(
+            "c send POST /rate-push/k t1 5000 x
+             w1 wait a
+             a expect POST /rate-push/k t1
+             a send 200
+             {last_line}
+             {last_line}
+             c expect 200 1
+             c send POST /booking-import/k t2 5000 x
+             w1 wait b
+             b expect POST /booking-import/k t2
+             b send done 2
+             c expect 200 2"
+        ),
+    );
+}
--- /dev/null
+++ b/crates/net/tests/http_connections/client_disconnects.rs
@@ -0,0 +1,131 @@
+//! Clients that disconnect, or send more, while their request waits for a response.
+
+use crate::sockets::{
+    CHUNKED_REQUEST, read_to_end, request, send_filler, send_filler_and_end, wait_for_bytes,
+    wait_until_all_is_read,
+};
+use crate::test_frontend::TestFrontend;
+use pumiceway_core::{ClientResponse, Event, RequestHandle};
+use pumiceway_net::frontend::LoopMessage;
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::time::Duration;
+
+// While the parser has unread bytes behind a request, it does not look for the end of the
+// connection, and the job would go on for nobody.
+#[test]
+fn a_client_that_sends_excess_bytes_and_closes_has_disconnected() {
+    let requests_and_excess = [
+        // Both are received in one read, and the parser keeps the rest.
+        (
+            format!("{CHUNKED_REQUEST}GET /-/ready HTTP/1.1\r\n\r\n"),
+            "",
+        ),
+        (CHUNKED_REQUEST.to_owned(), "POST /"),
+        (request("t1", "x"), "POST /"),
+        (request("t1", ""), "\0"),
+    ];
+    for (request, excess) in requests_and_excess {
+        for how in [Shutdown::Both, Shutdown::Write] {
+            let mut frontend = TestFrontend::start(4, 1);
+            let mut stream = frontend.connect();
+            stream.write_all(request.as_bytes()).unwrap();
+            let submitted = frontend.next_request();
+            stream.write_all(excess.as_bytes()).unwrap();
+            stream.shutdown(how).unwrap();
+            frontend.expect_disconnected(&submitted);
+            frontend.shut_down();
+            frontend.expect_no_message();
+        }
+    }
+}
+
+#[test]
+fn clients_that_reset_their_connections_in_a_burst_have_disconnected() {
+    let mut frontend = TestFrontend::start(64, 1);
+    let streams: Vec<TcpStream> = (0..64).map(|_| frontend.connect()).collect();
+    let mut submitted = Vec::new();
+    for (n, mut stream) in streams.iter().enumerate() {
+        stream
+            .write_all(request(&format!("t{n}"), "x").as_bytes())
+            .unwrap();
+        submitted.push(frontend.next_request());
+    }
+    for stream in streams {
+        socket2::SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
+    }
+    let mut disconnected: Vec<RequestHandle> = (0..64)
+        .map(|_| match frontend.next_message() {
+            Some(LoopMessage::Event(Event::ClientDisconnected { handle })) => handle,
+            other => panic!("{other:?}"),
+        })
+        .collect();
+    disconnected.sort();
+    let submitted: Vec<_> = submitted.iter().map(|request| request.handle).collect();
+    assert_eq!(disconnected, submitted);
+    frontend.shut_down();
+}
+
+// A flood must neither fill the memory, nor delay other clients, nor hide the disconnect.
+#[test]
+fn a_flood_behind_a_request_ends_its_connection_and_affects_no_other() {
+    let mut frontend = TestFrontend::start(4, 1);
+    let mut flooder = frontend.connect();
+    flooder.write_all(request("t1", "x").as_bytes()).unwrap();
+    let first = frontend.next_request();
+    let flood_failed = std::thread::spawn(move || send_filler(&flooder, 64 << 20).is_err());
+    let mut other = frontend.connect();
+    other.write_all(request("t2", "x").as_bytes()).unwrap();
+    // In either order: the flood ends once the limit of discarded bytes is reached.
+    let mut messages = [frontend.next_message(), frontend.next_message()];
+    messages.sort_by_key(|message| matches!(message, Some(LoopMessage::Event(_))));
+    let [
+        Some(LoopMessage::Submitted {
+            request,
+            response: second,
+            ..
+        }),
+        Some(LoopMessage::Event(Event::ClientDisconnected { handle })),
+    ] = messages
+    else {
+        panic!("not a request and a disconnect");
+    };
+    assert_eq!((request.job.id.as_str(), handle), ("t2", first.handle));
+    second.send(ClientResponse::Served("2".into())).unwrap();
+    let mut response = [0; 12];
+    other.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"HTTP/1.1 200");
+    assert!(
+        flood_failed.join().unwrap(),
+        "all of the flood was accepted"
+    );
+}
+
+// Such bytes must not be taken for the next request, nor cause a reset that discards the response.
+#[test]
+fn bytes_behind_a_request_are_discarded_and_its_response_can_be_read() {
+    let mut frontend = TestFrontend::start(4, 1);
+    let mut stream = frontend.connect();
+    stream.write_all(request("t1", "x").as_bytes()).unwrap();
+    let submitted = frontend.next_request();
+    stream.write_all(request("t2", "x").as_bytes()).unwrap();
+    send_filler(&stream, 1 << 20).unwrap();
+    // What the frontend reads after the response may be the next request.
+    wait_until_all_is_read(&stream);
+    submitted
+        .response
+        .send(ClientResponse::Served("1".into()))
+        .unwrap();
+    wait_for_bytes(&stream);
+    send_filler_and_end(&stream);
+    let response = read_to_end(&stream);
+    assert!(
+        response.starts_with("HTTP/1.1 200") && response.ends_with("\r\n\r\n1"),
+        "{response:?}"
+    );
+    assert!(response.contains("connection: close"), "{response:?}");
+    frontend.shut_down();
+    frontend.expect_no_message();
+}
--- /dev/null
+++ b/crates/net/tests/http_connections/main.rs
@@ -0,0 +1,9 @@
+//! How client connections of the HTTP frontend end, on loopback. Each test plays the core behind
+//! the frontend, so that it decides the order of events, and advances the frontend's clock.
+
+mod client_disconnects;
+mod final_responses;
+mod response_bytes;
+mod shutdown;
+mod sockets;
+mod test_frontend;
--- /dev/null
+++ b/crates/net/tests/http_connections/response_bytes.rs
@@ -0,0 +1,279 @@
+//! Responses, byte by byte apart from their date, and the times at which timeouts cause them.
+
+use crate::sockets::{
+    CHUNKED_REQUEST, connect, read_to_end, request, wait_for_bytes, wait_until_all_is_read,
+};
+use crate::test_frontend::{SubmittedRequest, TestFrontend};
+use pumiceway_core::{ClientResponse, Failure, Rejection};
+use pumiceway_net::frontend::admission::REQUEST;
+use pumiceway_test_support::SETTINGS;
+use std::io::{ErrorKind, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// Time after which an incomplete body is answered with an error.
+const BODY_TIMEOUT: Duration = Duration::from_millis(1_800);
+const MILLISECOND: Duration = Duration::from_millis(1);
+/// The headers that each request needs.
+const REQUIRED: &str = "X-Txn: t1\r\nX-Remaining-Ms: 5000\r\n";
+
+/// A frontend with a tenant, and with a class whose jobs need an idempotency key.
+fn frontend_with_tenant() -> TestFrontend {
+    let tenant = r#""rules":{},"tenants":[{"name":"acme","quota-per-s":9}]"#;
+    let settings = SETTINGS.replacen(r#""rules":{}"#, tenant, 1).replacen(
+        "non_idempotent",
+        "idempotency_key",
+        1,
+    );
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    TestFrontend::start_with(&settings, listener, 64, 8, |_, _| {})
+}
+
+fn post(path: &str, headers: &str) -> String {
+    format!("POST {path} HTTP/1.1\r\n{headers}Content-Length: 0\r\n\r\n")
+}
+
+fn post_with_body(headers: &str, body: &str) -> String {
+    format!("POST /rate-push/k HTTP/1.1\r\n{REQUIRED}{headers}\r\n{body}")
+}
+
+/// Reads to the end of the stream, and leaves out the date.
+fn read_without_date(stream: &TcpStream) -> String {
+    let text = read_to_end(stream);
+    text.split_inclusive("\r\n")
+        .filter(|line| !line.starts_with("date: "))
+        .collect()
+}
+
+/// The response to a request that is not submitted.
+fn response_to(frontend: &TestFrontend, request: &[u8]) -> String {
+    let mut stream = connect(frontend.address);
+    stream.write_all(request).unwrap();
+    read_without_date(&stream)
+}
+
+/// A response with a text, after which the connection is closed.
+fn error_response(status: &str, text: &str) -> String {
+    let length = text.len();
+    format!(
+        "HTTP/1.1 {status}\r\ncontent-type: text/plain; charset=utf-8\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{text}"
+    )
+}
+
+#[test]
+fn each_invalid_request_gets_its_error_response() {
+    let mut frontend = frontend_with_tenant();
+    let with = |headers: &str| post("/rate-push/k", &format!("{REQUIRED}{headers}"));
+    let large_chunk = format!("10001\r\n{}\r\n0\r\n\r\n", "x".repeat(0x10001));
+    let bad_request = [
+        (post("/unknown/k", REQUIRED), "unknown class"),
+        (
+            with("X-Lane: booking-import\r\n"),
+            "X-Lane and path name two classes",
+        ),
+        (post("/rate-push/k", "X-Remaining-Ms: 5000\r\n"), "X-Txn"),
+        (with("X-Txn: t1\r\n"), "a header comes twice"),
+        (with("X-Lane: \u{e9}\r\n"), "a header is not text"),
+        (post("/booking-import/k", REQUIRED), "Idempotency-Key"),
+        (post("/rate-push/k", "X-Txn: t1\r\n"), "X-Remaining-Ms"),
+        (
+            post("/rate-push/k", "X-Txn: t1\r\nX-Remaining-Ms: +5\r\n"),
+            "X-Remaining-Ms",
+        ),
+        (with("X-Org: other\r\n"), "unknown tenant"),
+        (with("X-Labels: slots=-1\r\n"), "X-Labels"),
+        (with("X-Labels: depth\r\n"), "X-Labels"),
+        (
+            post_with_body("Content-Length: 1\r\n", "xx"),
+            "more came than Content-Length says",
+        ),
+        (
+            post_with_body("Transfer-Encoding: chunked\r\n", "x"),
+            "the body can't be read",
+        ),
+        (post("/rate-push/k#f", REQUIRED), "bytes in the path"),
+        (with("Content-Length: 0\r\n"), "Content-Length twice"),
+        (
+            with("Transfer-Encoding: chunked\r\n"),
+            "Content-Length beside Transfer-Encoding",
+        ),
+    ];
+    let other = [
+        (post("/-/other", ""), "404 Not Found", "no such path"),
+        (
+            "GET / HTTP/1.1\r\n\r\n".to_owned(),
+            "404 Not Found",
+            "no such path",
+        ),
+        (
+            "GET /rate-push/k HTTP/1.1\r\n\r\n".to_owned(),
+            "405 Method Not Allowed",
+            "jobs come by POST",
+        ),
+        (
+            post_with_body("Content-Length: 65537\r\n", ""),
+            "413 Payload Too Large",
+            "a body holds 64 KiB at most",
+        ),
+        (
+            post_with_body("Transfer-Encoding: chunked\r\n", &large_chunk),
+            "413 Payload Too Large",
+            "the body can't be read",
+        ),
+    ];
+    for (request, text) in bad_request {
+        let expected = error_response("400 Bad Request", text);
+        assert_eq!(response_to(&frontend, request.as_bytes()), expected);
+    }
+    for (request, status, text) in other {
+        let expected = error_response(status, text);
+        assert_eq!(response_to(&frontend, request.as_bytes()), expected);
+    }
+    frontend.expect_no_message();
+}
+
+/// Submits a request on a connection of its own, which is closed after the response.
+fn submit(frontend: &mut TestFrontend, headers: &str) -> (TcpStream, SubmittedRequest) {
+    let mut stream = frontend.connect();
+    let request = post(
+        "/rate-push/k?q=1",
+        &format!("{headers}Connection: close\r\n"),
+    );
+    stream.write_all(request.as_bytes()).unwrap();
+    (stream, frontend.next_request())
+}
+
+#[test]
+fn a_request_is_submitted_with_what_its_head_says() {
+    let mut frontend = frontend_with_tenant();
+    let day = Duration::from_secs(24 * 60 * 60);
+    for (remaining_ms, remaining) in [
+        ("0", Duration::ZERO),
+        ("5000", Duration::from_secs(5)),
+        ("99999999999999999999999999", day),
+    ] {
+        let headers = format!(
+            "X-Txn: t1\r\nX-Remaining-Ms: {remaining_ms}\r\nX-Org: acme\r\nIdempotency-Key: k\r\nX-Labels: slots=2,, memory = 0.5 ,depth=3\r\n"
+        );
+        let (stream, submitted) = submit(&mut frontend, &headers);
+        let request = &submitted.request;
+        assert_eq!(request.remaining, remaining);
+        assert_eq!((request.slots, request.memory), (2.0, 0.5));
+        assert_eq!(request.tenant.map(|tenant| tenant.0), Some(0));
+        assert_eq!(request.class.0, 0);
+        assert_eq!(request.job.id, "t1");
+        assert_eq!(request.job.path, "/rate-push/k?q=1");
+        assert_eq!(request.job.idempotency_key.as_deref(), Some("k"));
+        let served = ClientResponse::Served("1".into());
+        submitted.response.send(served).unwrap();
+        read_to_end(&stream);
+        frontend.expect_no_message();
+    }
+}
+
+#[test]
+fn each_response_of_the_core_is_mapped_to_http() {
+    let mut frontend = frontend_with_tenant();
+    let retry_after = Some(Duration::from_micros(1_234_567));
+    for (response, expected) in [
+        (
+            ClientResponse::Served("1".into()),
+            "HTTP/1.1 200 OK\r\ncontent-length: 1\r\nconnection: close\r\n\r\n1".to_owned(),
+        ),
+        (
+            ClientResponse::Overloaded { retry_after: None },
+            "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
+                .to_owned(),
+        ),
+        (
+            ClientResponse::Overloaded { retry_after },
+            "HTTP/1.1 503 Service Unavailable\r\nretry-after: 1.235\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
+                .to_owned(),
+        ),
+        (
+            ClientResponse::Rejected(Rejection::IdInUse),
+            error_response("409 Conflict", &Rejection::IdInUse.to_string()),
+        ),
+        (
+            ClientResponse::Rejected(Rejection::InvalidJob),
+            error_response("422 Unprocessable Entity", &Rejection::InvalidJob.to_string()),
+        ),
+    ] {
+        let (stream, submitted) = submit(&mut frontend, REQUIRED);
+        submitted.response.send(response).unwrap();
+        assert_eq!(read_without_date(&stream), expected);
+    }
+    let (stream, submitted) = submit(&mut frontend, REQUIRED);
+    let failed = ClientResponse::Failed(Failure::DispatcherEnded);
+    submitted.response.send(failed).unwrap();
+    let text = Failure::DispatcherEnded.to_string();
+    let length = text.len();
+    assert_eq!(
+        read_without_date(&stream),
+        format!(
+            "HTTP/1.1 502 Bad Gateway\r\ncontent-type: text/plain; charset=utf-8\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n{text}"
+        )
+    );
+}
+
+#[test]
+fn a_pipelined_request_gets_an_error_after_the_response_to_the_first() {
+    let mut frontend = TestFrontend::start(4, 1);
+    let mut stream = frontend.connect();
+    let pipelined = format!("{CHUNKED_REQUEST}{}", request("t2", "x"));
+    stream.write_all(pipelined.as_bytes()).unwrap();
+    let submitted = frontend.next_request();
+    submitted
+        .response
+        .send(ClientResponse::Served("1".into()))
+        .unwrap();
+    let first = "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n1";
+    let second = error_response(
+        "400 Bad Request",
+        "a request before the answer to the last one",
+    );
+    assert_eq!(read_without_date(&stream), format!("{first}{second}"));
+    frontend.expect_no_message();
+}
+
+#[test]
+fn a_partial_request_is_answered_at_its_timeout_and_not_before() {
+    let frontend = TestFrontend::start(4, 1);
+    let body = error_response("408 Request Timeout", "the body took too long");
+    let head = "HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 25\r\n\r\nthe request took too long";
+    for (partial_request, timeout, expected) in [
+        (
+            post_with_body("Content-Length: 2\r\n", "x"),
+            BODY_TIMEOUT,
+            body.as_str(),
+        ),
+        ("P".to_owned(), REQUEST, head),
+    ] {
+        let mut stream = frontend.connect();
+        stream.write_all(partial_request.as_bytes()).unwrap();
+        wait_until_all_is_read(&stream);
+        frontend.advance_clock(timeout - MILLISECOND);
+        frontend.advance_clock(Duration::ZERO);
+        stream.set_nonblocking(true).unwrap();
+        let nothing = stream.peek(&mut [0]).unwrap_err();
+        assert_eq!(nothing.kind(), ErrorKind::WouldBlock);
+        stream.set_nonblocking(false).unwrap();
+        frontend.advance_clock(MILLISECOND);
+        wait_for_bytes(&stream);
+        assert_eq!(read_without_date(&stream), expected);
+    }
+}
+
+#[test]
+fn a_connection_over_the_limit_gets_an_overload_response() {
+    let only_spare = TestFrontend::start(0, 1);
+    assert_eq!(
+        response_to(&only_spare, post("/rate-push/k", REQUIRED).as_bytes()),
+        "HTTP/1.1 503 Service Unavailable\r\ncontent-type: text/plain; charset=utf-8\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 20\r\n\r\ntoo many connections"
+    );
+    let none = TestFrontend::start(0, 0);
+    assert_eq!(
+        read_without_date(&none.connect()),
+        "HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
+    );
+}
--- /dev/null
+++ b/crates/net/tests/http_connections/sockets.rs
@@ -0,0 +1,132 @@
+//! Client sockets, and the requests and bytes that the tests send on them.
+
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+/// How long a test waits for something that should happen.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
+const OVERLOADED_STATUS: &str = "HTTP/1.1 503 ";
+
+/// A request with a chunked body.
+pub const CHUNKED_REQUEST: &str = "POST /rate-push/k HTTP/1.1\r\nX-Txn: t1\r\nX-Remaining-Ms: 5000\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n";
+
+/// A request with a `Content-Length`.
+pub fn request(id: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "POST /rate-push/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: 5000\r\nContent-Length: {length}\r\n\r\n{body}"
+    )
+}
+
+pub fn connect(address: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    stream
+}
+
+/// Waits until this holds.
+pub fn wait_until(otherwise: &str, holds: impl Fn() -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while !holds() {
+        assert!(Instant::now() < end, "{otherwise}");
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// What the operating system knows of one end of a connection.
+struct SocketState {
+    tcp_state: u8,
+    /// Bytes that the other end has not acknowledged.
+    unacknowledged: u32,
+    /// Bytes that were received and not read.
+    unread: u32,
+}
+
+fn socket_state(local: SocketAddr, remote: SocketAddr) -> Option<SocketState> {
+    let name = |address: SocketAddr| format!("0100007F:{:04X}", address.port());
+    let hex = |text: &str| u32::from_str_radix(text, 16).unwrap();
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    table.lines().find_map(|line| {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let (unacknowledged, unread) = fields.get(4)?.split_once(':')?;
+        (fields[1..3] == [name(local), name(remote)]).then(|| SocketState {
+            tcp_state: hex(fields[3]) as u8,
+            unacknowledged: hex(unacknowledged),
+            unread: hex(unread),
+        })
+    })
+}
+
+/// Waits until the frontend has read all that was sent.
+pub fn wait_until_all_is_read(stream: &TcpStream) {
+    let (client, frontend) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
+    wait_until("the frontend does not read", || {
+        matches!(
+            (
+                socket_state(client, frontend),
+                socket_state(frontend, client)
+            ),
+            (
+                Some(SocketState {
+                    unacknowledged: 0,
+                    ..
+                }),
+                Some(SocketState { unread: 0, .. })
+            )
+        )
+    });
+}
+
+/// Waits until the client has received the end of the frontend's stream, without reading.
+pub fn wait_until_end_is_received(stream: &TcpStream) {
+    const CLOSE_WAIT: u8 = 8;
+    let (client, frontend) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
+    wait_until("the frontend does not close", || {
+        socket_state(client, frontend).is_some_and(|socket| socket.tcp_state == CLOSE_WAIT)
+    });
+}
+
+/// Waits until the frontend has ended its stream, whether or not the client has space to receive
+/// the last bytes of it.
+pub fn wait_until_end_is_sent(stream: &TcpStream) {
+    const FIN_WAIT: [u8; 2] = [4, 5];
+    let (client, frontend) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
+    wait_until("the frontend does not end its stream", || {
+        socket_state(frontend, client).is_some_and(|socket| FIN_WAIT.contains(&socket.tcp_state))
+    });
+}
+
+/// Waits until something was received, and leaves it unread.
+pub fn wait_for_bytes(stream: &TcpStream) {
+    let received = stream.peek(&mut [0]);
+    assert!(matches!(received, Ok(1)), "{received:?}");
+}
+
+/// Reads to the end of the stream. A reset is no such end: it may discard what came before it.
+pub fn read_to_end(mut stream: &TcpStream) -> String {
+    let mut text = Vec::new();
+    let end = stream.read_to_end(&mut text);
+    let text = String::from_utf8_lossy(&text).into_owned();
+    assert!(end.is_ok(), "after {text:?}: {end:?}");
+    text
+}
+
+pub fn assert_overloaded(response: &str) {
+    assert!(
+        response.starts_with(OVERLOADED_STATUS) && response.contains("retry-after: "),
+        "{response:?}"
+    );
+}
+
+/// Sends filler for as long as the other end takes it, up to so many bytes.
+pub fn send_filler(mut stream: &TcpStream, bytes: usize) -> std::io::Result<()> {
+    (0..bytes >> 14).try_for_each(|_| stream.write_all(&[b'x'; 1 << 14]))
+}
+
+/// Sends filler and ends the stream. All of it has to be accepted: a reset for the first part of it
+/// would fail a later one.
+pub fn send_filler_and_end(stream: &TcpStream) {
+    send_filler(stream, 1 << 20).unwrap();
+    stream.shutdown(Shutdown::Write).unwrap();
+}
--- /dev/null
+++ b/crates/net/tests/http_connections/test_frontend.rs
@@ -0,0 +1,206 @@
+//! An HTTP frontend without a core, on a thread of its own with a paused clock.
+
+use crate::sockets::{TEST_TIMEOUT, connect, wait_until};
+use pumiceway_core::{ClientRequest, ClientResponse, Event, RequestHandle};
+use pumiceway_net::config::Sockets;
+use pumiceway_net::frontend::http::{Closing, HttpFrontend};
+use pumiceway_net::frontend::{EventSender, LoopMessage};
+use pumiceway_test_support::SETTINGS;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::sync::mpsc::{RecvTimeoutError, Sender, channel};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot, watch};
+
+/// A frontend whose messages to the core go to the test.
+pub struct TestFrontend {
+    pub address: SocketAddr,
+    /// Set to shut the frontend down.
+    pub close: watch::Sender<bool>,
+    /// `None` once the frontend has ended.
+    pub thread: Option<JoinHandle<()>>,
+    messages: mpsc::UnboundedReceiver<LoopMessage>,
+    clock_advances: mpsc::UnboundedSender<ClockAdvance>,
+}
+
+struct ClockAdvance {
+    by: Duration,
+    done: Sender<()>,
+}
+
+/// A request that was submitted to the core.
+pub struct SubmittedRequest {
+    pub handle: RequestHandle,
+    pub request: ClientRequest,
+    pub response: oneshot::Sender<ClientResponse>,
+}
+
+impl TestFrontend {
+    /// Starts a frontend with this many permits.
+    pub fn start(inbound: usize, spare: usize) -> TestFrontend {
+        TestFrontend::start_after(inbound, spare, |_, _| {})
+    }
+
+    /// Starts a frontend that accepts no connection before `before` has returned.
+    pub fn start_after(
+        inbound: usize,
+        spare: usize,
+        before: impl FnOnce(SocketAddr, &watch::Sender<bool>),
+    ) -> TestFrontend {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        TestFrontend::start_on(listener, inbound, spare, before)
+    }
+
+    /// The same with a listener of the test's own.
+    pub fn start_on(
+        listener: std::net::TcpListener,
+        inbound: usize,
+        spare: usize,
+        before: impl FnOnce(SocketAddr, &watch::Sender<bool>),
+    ) -> TestFrontend {
+        TestFrontend::start_with(SETTINGS, listener, inbound, spare, before)
+    }
+
+    /// The same with settings of the test's own.
+    pub fn start_with(
+        settings: &str,
+        listener: std::net::TcpListener,
+        inbound: usize,
+        spare: usize,
+        before: impl FnOnce(SocketAddr, &watch::Sender<bool>),
+    ) -> TestFrontend {
+        listener.set_nonblocking(true).unwrap();
+        let address = listener.local_addr().unwrap();
+        let (close, closing) = watch::channel(false);
+        let (events, messages) = EventSender::new();
+        before(address, &close);
+        let frontend = HttpFrontend {
+            events,
+            settings: Arc::new(serde_json::from_str(settings).unwrap()),
+            ready: Arc::new(AtomicBool::new(true)),
+        };
+        let sockets = Sockets {
+            inbound,
+            spare,
+            outbound: 1,
+        };
+        let (clock_advances, advances) = mpsc::unbounded_channel();
+        let thread =
+            std::thread::spawn(move || run(frontend, listener, sockets, closing, advances));
+        TestFrontend {
+            address,
+            close,
+            thread: Some(thread),
+            messages,
+            clock_advances,
+        }
+    }
+
+    /// Advances the frontend's clock; the frontend may end with that.
+    pub fn advance_clock(&self, by: Duration) {
+        let (done, is_done) = channel();
+        if self.clock_advances.send(ClockAdvance { by, done }).is_ok() {
+            let is_done = is_done.recv_timeout(TEST_TIMEOUT);
+            assert_ne!(
+                is_done,
+                Err(RecvTimeoutError::Timeout),
+                "the frontend's clock does not advance"
+            );
+        }
+    }
+
+    pub fn connect(&self) -> TcpStream {
+        connect(self.address)
+    }
+
+    /// The next message to the core; `None` if there is none in time.
+    pub fn next_message(&mut self) -> Option<LoopMessage> {
+        let end = Instant::now() + TEST_TIMEOUT;
+        loop {
+            match self.messages.try_recv() {
+                Ok(message) => return Some(message),
+                Err(_) if Instant::now() > end => return None,
+                Err(_) => std::thread::sleep(Duration::from_millis(1)),
+            }
+        }
+    }
+
+    /// Waits for a request to be submitted.
+    pub fn next_request(&mut self) -> SubmittedRequest {
+        match self.next_message() {
+            Some(LoopMessage::Submitted {
+                handle,
+                request,
+                response,
+                ..
+            }) => SubmittedRequest {
+                handle,
+                request,
+                response,
+            },
+            other => panic!("no request is submitted: {other:?}"),
+        }
+    }
+
+    /// Waits until the core is notified that the client of a request has disconnected.
+    pub fn expect_disconnected(&mut self, submitted: &SubmittedRequest) {
+        match self.next_message() {
+            Some(LoopMessage::Event(Event::ClientDisconnected { handle }))
+                if handle == submitted.handle => {}
+            other => panic!("the disconnect is not noticed: {other:?}"),
+        }
+        // The event is sent before the receiver is dropped.
+        wait_until("the frontend waits for a response", || {
+            submitted.response.is_closed()
+        });
+    }
+
+    pub fn expect_no_message(&mut self) {
+        let message = self.messages.try_recv();
+        assert!(message.is_err(), "{message:?}");
+    }
+
+    /// Shuts the frontend down, and waits until it has ended.
+    pub fn shut_down(&mut self) {
+        // It may have ended, if it was shut down before.
+        let _ = self.close.send(true);
+        self.wait_for_end();
+    }
+
+    pub fn wait_for_end(&mut self) {
+        let thread = self.thread.take().unwrap();
+        wait_until("the frontend does not end", || thread.is_finished());
+        thread.join().unwrap();
+    }
+}
+
+fn run(
+    frontend: HttpFrontend,
+    listener: std::net::TcpListener,
+    sockets: Sockets,
+    closing: Closing,
+    mut advances: mpsc::UnboundedReceiver<ClockAdvance>,
+) {
+    let mut runtime = tokio::runtime::Builder::new_current_thread();
+    let runtime = runtime.enable_all().start_paused(true).build().unwrap();
+    runtime.block_on(async {
+        // A paused clock advances by itself when the runtime is idle, unless a blocking task runs.
+        let (ended, keep_paused) = channel::<()>();
+        tokio::task::spawn_blocking(move || keep_paused.recv().is_err());
+        let listener = TcpListener::from_std(listener).unwrap();
+        let clock = async {
+            while let Some(ClockAdvance { by, done }) = advances.recv().await {
+                tokio::time::advance(by).await;
+                let _ = done.send(());
+            }
+            std::future::pending().await
+        };
+        tokio::select! {
+            () = frontend.serve(listener, sockets, closing) => drop(ended),
+            () = clock => {}
+        }
+    });
+}
