--- a/crates/net/src/event_loop/effects.rs
+++ b/crates/net/src/event_loop/effects.rs
@@ -1,6 +1,6 @@
 //! Carrying out the effects of the core.
 
-use super::watch::DiscoveryWatch;
+use super::watch::WatchTask;
 use super::{EventLoop, PendingClient, RunningAttempt};
 use crate::frontend::EventSender;
 use crate::upstream::{AttemptObserver, AttemptOptions};
@@ -56,14 +56,14 @@
                 write_by,
             } => {
                 let class_name = self.class_name(class);
-                // The only line that ties an attempt to its request and its endpoint.
+                // Ties the attempt to its request and its endpoint in the log.
                 debug!(
                     request_id = job.id,
                     attempt = attempt.0,
                     attempt_index,
                     endpoint = %address,
                     class = class_name,
-                    "attempt sent"
+                    "attempt starts"
                 );
                 let write_by = write_by.map(|at| Instant::from_std(self.clock.instant(at)));
                 let options = AttemptOptions {
@@ -131,12 +131,12 @@
     ) {
         // An endpoint must not be blamed for a connection that there was no descriptor for.
         if self.attempts.len() >= self.upstreams.max_sockets() || !self.ensure_free_socket() {
-            let max_sockets = self.upstreams.max_sockets();
+            let limit = self.upstreams.max_sockets();
             warn!(
                 request_id = job.id,
                 attempt = attempt.0,
                 endpoint = address,
-                max_sockets,
+                limit,
                 "attempt was not sent: no socket is left"
             );
             let outcome = AttemptOutcome::NotSent;
@@ -186,7 +186,7 @@
     }
 
     fn abort_attempt(&mut self, attempt: AttemptId) {
-        debug!(attempt = attempt.0, outcome = "aborted", "attempt ended");
+        debug!(attempt = attempt.0, "attempt aborted");
         if let Some(RunningAttempt {
             connection, task, ..
         }) = self.attempts.remove(&attempt)
@@ -248,7 +248,7 @@
 
     fn watch_discovery(&mut self, address: String, list_version: Option<u64>) {
         let after_move = self.watch.is_some();
-        let watch = DiscoveryWatch::start(address, self.settings.clone(), list_version, after_move);
+        let watch = WatchTask::start(address, self.settings.clone(), list_version, after_move);
         if after_move {
             self.next_watch = Some(watch);
         } else {
@@ -296,7 +296,7 @@
         let expires_in_ms = remaining.map(|remaining| remaining.as_millis() as u64);
         debug!(
             ?source,
-            ?signal,
+            lease_signal = ?signal,
             expires_in_ms,
             "lease on the endpoint list updated"
         );
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -1,9 +1,10 @@
 //! The event loop: carries out the effects of the core, and returns their results to it as events.
 //!
-//! The core is a state machine without I/O; this is the thin asynchronous part around it. One task
-//! owns the core and all that is in flight, so nothing here is locked. Frontends, attempts and
-//! health checks run as tasks of their own and send
-//! [`LoopMessage`]s.
+//! The core is a state machine without I/O; this is the thin asynchronous part around it. One task owns
+//! the core and all that is in flight, so nothing here is locked. Frontends, attempts and health checks
+//! run as tasks of their own and send [`LoopMessage`]s. Endpoint lists come through channels of their
+//! own, which hold one update, so that a source that sends without end has to wait. Messages that have
+//! come go before the timer.
 
 mod clock;
 mod effects;
@@ -37,10 +38,10 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{debug, info};
 use upstreams::Upstreams;
-use watch::DiscoveryWatch;
+use watch::WatchTask;
 
 /// Messages that are taken in at a time.
-const BATCH: usize = 1_024;
+const MAX_BATCH_MESSAGES: usize = 1_024;
 /// Updates of a source that may wait here. A source that has more waits, and reads no further:
 /// otherwise a service that sends without end would fill the memory.
 const SOURCE_CHANNEL_CAPACITY: usize = 1;
@@ -136,7 +137,7 @@
             .unwrap_or_default()
             .endpoints(&deployment);
         let endpoints = bootstrap_list.len();
-        event_loop.start_discovery(bootstrap_list, list_version, config.discovery);
+        event_loop.load_bootstrap_list(bootstrap_list, list_version, config.discovery);
         let (zookeeper_updates, zookeeper) = mpsc::channel(SOURCE_CHANNEL_CAPACITY);
         if let Some(config) = config.zookeeper {
             event_loop.feed(Event::LeaseRequired {
@@ -239,9 +240,10 @@
     timer: Option<Timestamp>,
     exit: bool,
     /// The watch whose updates confirm the list.
-    watch: Option<DiscoveryWatch>,
-    /// After a move of discovery: the watch at its new address, until it has sent the list.
-    next_watch: Option<DiscoveryWatch>,
+    watch: Option<WatchTask>,
+    /// After a move of discovery: the watch at its new address, until its first update other than
+    /// `Lost`.
+    next_watch: Option<WatchTask>,
 }
 
 impl EventLoop {
@@ -271,7 +273,7 @@
         }
     }
 
-    fn start_discovery(
+    fn load_bootstrap_list(
         &mut self,
         bootstrap_list: Vec<pumiceway_core::Endpoint>,
         list_version: Option<u64>,
@@ -285,7 +287,7 @@
             update,
         });
         if discovery.is_none() {
-            // Nobody will confirm the list of the configuration, so it holds as it is.
+            // There is no service that could confirm the list, so an empty change confirms it for good.
             let update = EndpointListUpdate::Delta(vec![]);
             self.feed(Event::EndpointListUpdated {
                 source,
@@ -310,16 +312,16 @@
                 .map(|at| Instant::from_std(self.clock.instant(at)));
             let timer_fires = sleep_until(timer.unwrap_or_else(Instant::now));
             tokio::select! {
-                _ = inputs.messages.recv_many(&mut batch, BATCH) => self.handle_batch(&mut batch),
+                _ = inputs.messages.recv_many(&mut batch, MAX_BATCH_MESSAGES) => self.handle_batch(&mut batch),
                 Some(update) = inputs.zookeeper.recv() => self.on_source_update(update),
-                update = DiscoveryWatch::next(&mut self.watch) => self.on_watch_update(update),
-                update = DiscoveryWatch::next(&mut self.next_watch) => self.on_next_watch_update(update),
+                update = WatchTask::next(&mut self.watch) => self.on_watch_update(update),
+                update = WatchTask::next(&mut self.next_watch) => self.on_next_watch_update(update),
                 Some(Reload { discovery, restart_required }) = inputs.reloads.recv() => {
                     let discovery = Some(discovery);
                     self.feed(Event::Configured { discovery, list_version: None, restart_required });
                 }
                 () = timer_fires, if timer.is_some() => {
-                    batch.extend(std::iter::from_fn(|| inputs.messages.try_recv().ok()).take(BATCH));
+                    batch.extend(std::iter::from_fn(|| inputs.messages.try_recv().ok()).take(MAX_BATCH_MESSAGES));
                     self.on_timer(&mut batch);
                 }
                 () = shutdown.as_mut(), if !shutting_down => {
--- a/crates/net/src/event_loop/upstreams.rs
+++ b/crates/net/src/event_loop/upstreams.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Where no socket is left, idle connections are closed to this part of the endpoints that have
-/// any, at a time.
-const FREED_DIVISOR: usize = 4;
+/// Where no socket is left, one in this many of the endpoints without an attempt in flight lose their
+/// idle connections at a time.
+const EVICTED_DIVISOR: usize = 4;
 
 /// The clients of all endpoints.
 pub(super) struct Upstreams {
@@ -84,8 +84,8 @@
     }
 
     /// Sees to it that a socket is free, or is about to be: of the endpoints without an attempt in
-    /// flight, those that were not used for longest lose their idle connections. Returns whether
-    /// one is.
+    /// flight, those that were not used for longest lose their idle connections. Returns false only if
+    /// there is no such endpoint.
     pub(super) fn ensure_free_socket(&mut self, busy: &HashSet<EndpointId>) -> bool {
         if self.sockets.available_permits() > 0 {
             return true;
@@ -98,7 +98,7 @@
             .map(|(&endpoint, pooled)| (pooled.last_used_at, endpoint))
             .collect();
         idle.sort_unstable();
-        for (_, endpoint) in idle.iter().take(idle.len().div_ceil(FREED_DIVISOR)) {
+        for (_, endpoint) in idle.iter().take(idle.len().div_ceil(EVICTED_DIVISOR)) {
             self.clients.remove(endpoint);
         }
         !idle.is_empty()
--- a/crates/net/src/upstream/pool_settings.rs
+++ b/crates/net/src/upstream/pool_settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// A health check that takes longer has failed.
-pub(super) const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+pub(super) const MIN_HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// A health check has at least this time left once its connection is up.
 const HEALTH_CHECK_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle connections are closed after this time where the deployment names none.
@@ -36,7 +36,7 @@
             idle_timeout: idle_timeout(settings.limits.connection_idle_us),
             // Where connections may take long to come up, a health check that opens one must not
             // fail for that alone.
-            health_check_timeout: HEALTH_CHECK_TIMEOUT
+            health_check_timeout: MIN_HEALTH_CHECK_TIMEOUT
                 .max(connect_timeout + HEALTH_CHECK_RESPONSE_TIMEOUT),
             max_idle_connections: (sockets.outbound / IDLE_PART).max(MIN_IDLE_CONNECTIONS),
         }
--- /dev/null
+++ b/crates/test-support/src/fleet/clients.rs
@@ -0,0 +1,253 @@
+//! Clients: they send requests to random instances and may disconnect early.
+//!
+//! The usual traffic is a Poisson process. Where the deployment has tenants, each has a part of it,
+//! and a flood multiplies the part of the first.
+
+use super::agenda::{Incarnation, SimulationEvent};
+use super::micros_f64;
+use super::plan::{DAY_START, Day};
+use super::settings::{MICROS_PER_SECOND, QUOTA_USAGE, TENANT_TRAFFIC, mean_request_gap_us};
+use super::simulation::Simulation;
+use super::summary::Service;
+use super::workload::Requirements;
+use bytes::Bytes;
+use pumiceway_core::{ClientRequest, Event, Job, RequestHandle};
+use pumiceway_decisions::api::{ClassId, Tenant, TenantId, Timestamp};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The first tenant sends this many times its quota in a flood.
+const FLOOD_MULTIPLE: f64 = 5.0;
+/// Clients still find an instance for so long after it was asked to stop; later, one in so many
+/// does.
+const STOPPING_FOUND_FOR: Duration = Duration::from_millis(300);
+const STOPPING_FOUND_BY_ONE_IN: u32 = 4;
+/// One in so many impatient clients disconnects, within this time.
+const DISCONNECTS_ONE_IN: u32 = 6;
+const DISCONNECTS_WITHIN: Duration = Duration::from_millis(600);
+
+/// What a client asks for, over all its retries.
+#[derive(Clone, Copy)]
+pub(super) struct SimulatedRequest {
+    pub requirements: Requirements,
+    pub retries: u32,
+    /// When the client first asked.
+    pub since: Timestamp,
+    pub tenant: Option<usize>,
+    pub is_within_quota: bool,
+}
+
+/// A request that was submitted to an instance.
+pub(super) struct OpenRequest {
+    pub incarnation: Incarnation,
+    pub submitted_at: Timestamp,
+    pub request: SimulatedRequest,
+    pub awaits_response: bool,
+}
+
+/// What a tenant may still send within its quota.
+pub(super) struct QuotaBalance {
+    requests: f64,
+    updated_at: Timestamp,
+}
+
+impl QuotaBalance {
+    pub fn new(tenant: &Tenant) -> QuotaBalance {
+        QuotaBalance {
+            requests: tenant.quota_per_second,
+            updated_at: DAY_START,
+        }
+    }
+
+    /// Takes one request off, if the quota allows it. Returns whether it does.
+    fn take(&mut self, now: Timestamp, quota_per_second: f64) -> bool {
+        let elapsed_us = micros_f64(now.saturating_duration_since(self.updated_at));
+        let accrued = self.requests + quota_per_second * elapsed_us / MICROS_PER_SECOND;
+        // The quota of a second may be saved up.
+        let balance = accrued.min(quota_per_second.max(1.0));
+        let is_within_quota = balance >= 1.0;
+        self.requests = if is_within_quota {
+            balance - 1.0
+        } else {
+            balance
+        };
+        self.updated_at = now;
+        is_within_quota
+    }
+}
+
+impl Simulation {
+    pub fn client_arrives(&mut self) {
+        let request = self.draw_request();
+        self.submit(request);
+        let mean_gap_us =
+            mean_request_gap_us(self.plan) / self.tenant_traffic().iter().sum::<f64>();
+        let gap_us = -(1.0 - self.rng.f64()).ln() * mean_gap_us;
+        if !self.day_is_over() {
+            let gap = Duration::from_micros((gap_us as u64).max(1));
+            self.schedule(gap, SimulationEvent::ClientArrives);
+        }
+    }
+
+    pub fn client_retries(&mut self, request: SimulatedRequest) {
+        if !self.day_is_over() {
+            self.submit(request);
+        }
+    }
+
+    fn draw_request(&mut self) -> SimulatedRequest {
+        let requirements = self.workload.draw(&self.settings, &mut self.rng);
+        let mut request = SimulatedRequest {
+            requirements,
+            retries: 0,
+            since: self.now,
+            tenant: None,
+            is_within_quota: true,
+        };
+        if !self.quotas.is_empty() {
+            let tenant = self.draw_tenant();
+            let quota_per_second = self.settings.tenants[tenant].quota_per_second;
+            request.tenant = Some(tenant);
+            request.is_within_quota = self.quotas[tenant].take(self.now, quota_per_second);
+        }
+        self.add_weight(&request, |service| &mut service.requested_weight);
+        request
+    }
+
+    fn draw_tenant(&mut self) -> usize {
+        let traffic = self.tenant_traffic();
+        let mut draw = self.rng.f64() * traffic.iter().sum::<f64>();
+        let tenant = traffic.iter().position(|part| {
+            draw -= part;
+            draw < 0.0
+        });
+        tenant.unwrap_or(0)
+    }
+
+    /// How much each tenant sends now, in parts of the usual traffic of all.
+    fn tenant_traffic(&self) -> [f64; 3] {
+        let multiple = if self.now < self.flood_ends_at {
+            FLOOD_MULTIPLE / QUOTA_USAGE
+        } else {
+            1.0
+        };
+        let [first, second, third] = TENANT_TRAFFIC;
+        [first * multiple, second, third]
+    }
+
+    /// Adds the weight of a request to a total of each service that it counts for.
+    pub fn add_weight(
+        &mut self,
+        request: &SimulatedRequest,
+        total: impl Fn(&mut Service) -> &mut f64,
+    ) {
+        let class = request.requirements.class;
+        let mut weight = self.settings.classes[class].priority_weight;
+        if !request.is_within_quota {
+            weight *= self.settings.over_quota_weight;
+        }
+        let summary = &mut self.summary;
+        *total(&mut summary.service) += weight;
+        *total(&mut summary.service_by_class[class]) += weight;
+        if let Some(tenant) = request.tenant
+            && request.is_within_quota
+        {
+            *total(&mut summary.service_by_tenant[tenant]) += weight;
+        }
+    }
+
+    fn submit(&mut self, request: SimulatedRequest) {
+        let Some(instance) = self.draw_instance() else {
+            return;
+        };
+        let incarnation = self.current_incarnation(instance);
+        let id = self.agenda.next_sequence();
+        let handle = RequestHandle(id);
+        let requirements = request.requirements;
+        let deadline = self.settings.classes[requirements.class].deadline;
+        self.summary.requests += 1;
+        self.instances[instance].open_connections += 1;
+        let open = OpenRequest {
+            incarnation,
+            submitted_at: self.now,
+            request,
+            awaits_response: true,
+        };
+        self.requests.insert(handle, open);
+        self.jobs.entry(id).or_default().requirements = requirements;
+        self.schedule(deadline, SimulationEvent::DeadlinePasses(handle));
+        let client_request = ClientRequest {
+            class: ClassId(requirements.class),
+            remaining: deadline,
+            slots: requirements.slots,
+            memory: requirements.memory,
+            tenant: request.tenant.map(TenantId),
+            job: self.draw_job(id),
+            unique_id: None,
+        };
+        self.schedule_early_disconnect(incarnation, handle);
+        let submitted = Event::RequestSubmitted {
+            handle,
+            request: client_request,
+        };
+        self.deliver(incarnation, submitted);
+    }
+
+    /// The instance that a client finds, if any accepts it. Some see several times the mean.
+    fn draw_instance(&mut self) -> Option<usize> {
+        let count = self.plan.instances;
+        let draw = self.rng.f64();
+        let mut index = (draw * draw * count as f64) as usize % count;
+        for _ in 0..count {
+            let is_found = self.is_found(index);
+            if self.instances[index].accepts_clients() && is_found {
+                break;
+            }
+            index = (index + 1) % count;
+        }
+        self.instances[index].accepts_clients().then_some(index)
+    }
+
+    /// Whether a client still knows an instance, which may be stopping. Draws for a stopping one
+    /// even if it no longer accepts clients.
+    fn is_found(&mut self, instance: usize) -> bool {
+        match self.instances[instance].stop_requested_at {
+            None => true,
+            Some(requested_at) => {
+                self.now < requested_at + STOPPING_FOUND_FOR
+                    || self.rng.u32(..STOPPING_FOUND_BY_ONE_IN) == 0
+            }
+        }
+    }
+
+    /// A job with one of some paths, of which the first is much more frequent than the others.
+    fn draw_job(&mut self, id: u64) -> Arc<Job> {
+        let path = self.rng.u32(..40) * self.rng.u32(..3);
+        Arc::new(Job {
+            id: id.to_string(),
+            path: format!("/c/{path}"),
+            idempotency_key: None,
+            body: Bytes::new(),
+        })
+    }
+
+    fn schedule_early_disconnect(&mut self, incarnation: Incarnation, handle: RequestHandle) {
+        if self.plan.day != Day::ImpatientClients || self.rng.u32(..DISCONNECTS_ONE_IN) != 0 {
+            return;
+        }
+        let after_us = self.rng.u64(..DISCONNECTS_WITHIN.as_micros() as u64);
+        let disconnected = Event::ClientDisconnected { handle };
+        self.schedule(
+            Duration::from_micros(after_us),
+            SimulationEvent::Delivered(incarnation, disconnected),
+        );
+    }
+
+    pub fn client_disconnects(&mut self, incarnation: Incarnation, handle: RequestHandle) {
+        let open = self.requests.get_mut(&handle);
+        if let Some(open) = open.filter(|open| open.awaits_response) {
+            open.awaits_response = false;
+            self.instances[incarnation.instance].open_connections -= 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/processes/discovery/calls.rs
@@ -0,0 +1,279 @@
+//! Serves the calls and watches of a dispatcher, with the faults that are in force.
+
+use super::{CallFault, DiscoveryLink, OldAddress, SentVersion, State, Watch, WatchLoss};
+use crate::Peer;
+use crate::processes::Lists;
+use crate::processes::endpoints::ListMessage;
+use crate::processes::service::Failure;
+use std::time::{Duration, Instant};
+
+/// A watch without changes sends a heartbeat this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// How often a watch looks for changes.
+const WATCH_POLL: Duration = Duration::from_millis(10);
+/// Between two bytes of a response that trickles.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(200);
+/// An outdated service has caught up after this time; an agent beside the dispatcher sooner, as
+/// what it has counts at once.
+const SERVICE_LAG: Duration = Duration::from_millis(1_500);
+const AGENT_LAG: Duration = Duration::from_millis(200);
+/// How long a call without a response stays open.
+const HANG_DURATION: Duration = Duration::from_secs(8);
+
+/// Chunks of a response.
+const HEARTBEAT_CHUNK: &str = "raw 1\\r\\n\\n\\r\\n";
+const HALF_LINE_CHUNK: &str = "raw c\\r\\n{\"index\":123\\r\\n";
+
+/// A watch in progress.
+struct WatchStream {
+    address: usize,
+    peer: Peer,
+    opened_at: Instant,
+    /// Its index among all watches.
+    index: usize,
+    /// The version that was sent last.
+    version: u64,
+    last_sent_at: Instant,
+    half_line_sent: bool,
+}
+
+impl State {
+    fn call_fault(&self) -> Option<CallFault> {
+        let calls_fail = self.calls_fail.as_ref();
+        calls_fail
+            .filter(|fault| Instant::now() < fault.until)
+            .map(|fault| fault.fault)
+    }
+
+    /// What is at an address.
+    fn address_state(&self, address: usize) -> OldAddress {
+        if self.current == address {
+            OldAddress::Alive
+        } else {
+            self.old_addresses[address]
+        }
+    }
+
+    fn watch_loss(&self, stream: &WatchStream) -> Option<WatchLoss> {
+        let lost = self.watches_lost.as_ref();
+        let lost = lost.filter(|lost| stream.opened_at < lost.at);
+        let is_silent = self.address_state(stream.address) == OldAddress::Silent;
+        lost.map(|lost| lost.loss)
+            .or(is_silent.then_some(WatchLoss::Silent))
+    }
+
+    fn changes_are_late(&self) -> bool {
+        self.late_until.is_some_and(|until| Instant::now() < until)
+    }
+}
+
+impl DiscoveryLink {
+    pub(super) fn serve_call(&self, address: usize, mut peer: Peer) {
+        let Ok(request) = peer.message() else { return };
+        match self.address_state(address) {
+            OldAddress::Alive => {}
+            OldAddress::Dead => return refuse(peer, Failure::Unavailable),
+            OldAddress::Silent => return std::thread::sleep(HANG_DURATION),
+        }
+        let fault = self.state.lock().unwrap().call_fault();
+        if fault == Some(CallFault::Unanswered) {
+            return std::thread::sleep(HANG_DURATION);
+        }
+        let watch_from = watch_from(&request);
+        if let Err(failure) = self.take_turn(watch_from) {
+            return refuse(peer, failure);
+        }
+        // The dispatcher may have given the call up, and would read nothing that is sent on it.
+        if peer.closed() {
+            return;
+        }
+        match (fault, watch_from) {
+            (Some(CallFault::HeadAndHeartbeats), _) => self.send_heartbeats(address, peer),
+            (Some(CallFault::Trickles), _) => self.trickle(peer),
+            (Some(CallFault::Outdated), None) => {
+                self.send_whole(
+                    address,
+                    &mut peer,
+                    self.service.endpoints.outdated_snapshot(),
+                );
+            }
+            (Some(CallFault::Outdated), Some(_)) => self.watch_outdated(address, peer),
+            (_, None) => {
+                self.send_whole(address, &mut peer, self.service.endpoints.snapshot());
+            }
+            (_, Some(version)) => {
+                peer.send("200");
+                self.watch(address, peer, version);
+            }
+        }
+    }
+
+    fn take_turn(&self, watch_from: Option<u64>) -> Result<(), Failure> {
+        let endpoints = &self.service.endpoints;
+        let lines = match watch_from {
+            Some(version) => endpoints.changed_since(version),
+            None => endpoints.count(),
+        };
+        match self.lists {
+            Lists::Asked => self.service.take_turn(lines),
+            // An agent beside the dispatcher serves no other.
+            Lists::Pushed if self.service.is_up() => Ok(()),
+            Lists::Pushed => Err(Failure::Unavailable),
+        }
+    }
+
+    fn send_whole(&self, address: usize, peer: &mut Peer, list: ListMessage) {
+        peer.send(&format!("json {}", list.text));
+        self.note_sent(address, list.version);
+    }
+
+    /// Sends a line of a watch whose head was sent.
+    fn send_line(&self, address: usize, peer: &mut Peer, list: &ListMessage) {
+        peer.send(&format!("+ {}", list.text));
+        self.note_sent(address, list.version);
+    }
+
+    /// A watch: what has changed since this version, then each change.
+    fn watch(&self, address: usize, mut peer: Peer, from: u64) {
+        let opened_at = Instant::now();
+        let first = self.service.endpoints.delta_since(from);
+        self.send_line(address, &mut peer, &first);
+        let mut stream = WatchStream {
+            address,
+            peer,
+            opened_at,
+            index: self.note_opened(opened_at),
+            version: first.version,
+            last_sent_at: opened_at,
+            half_line_sent: false,
+        };
+        while self.is_served(address) && !stream.peer.closed() {
+            std::thread::sleep(WATCH_POLL);
+            let (loss, changes_are_late) = {
+                let state = self.state.lock().unwrap();
+                (state.watch_loss(&stream), state.changes_are_late())
+            };
+            match loss {
+                Some(WatchLoss::Reset) => {
+                    self.note_closed(stream.index);
+                    return stream.peer.reset();
+                }
+                Some(WatchLoss::Ended) => break,
+                Some(WatchLoss::HalfLine) => self.fall_silent(&mut stream, true),
+                Some(WatchLoss::Silent) => self.fall_silent(&mut stream, false),
+                None => self.send_changes(&mut stream, changes_are_late),
+            }
+        }
+        self.note_closed(stream.index);
+    }
+
+    fn fall_silent(&self, stream: &mut WatchStream, after_half_line: bool) {
+        self.state.lock().unwrap().watches[stream.index]
+            .silent_since
+            .get_or_insert(Instant::now());
+        if after_half_line && !std::mem::replace(&mut stream.half_line_sent, true) {
+            stream.peer.send(HALF_LINE_CHUNK);
+        }
+    }
+
+    /// Sends what has changed, if anything has and is not late, or a heartbeat when one is due.
+    fn send_changes(&self, stream: &mut WatchStream, changes_are_late: bool) {
+        let endpoints = &self.service.endpoints;
+        if endpoints.version() > stream.version && !changes_are_late {
+            let changes = endpoints.delta_since(stream.version);
+            self.send_line(stream.address, &mut stream.peer, &changes);
+            stream.version = changes.version;
+            stream.last_sent_at = Instant::now();
+        } else if stream.last_sent_at.elapsed() >= HEARTBEAT_INTERVAL {
+            stream.peer.send(HEARTBEAT_CHUNK);
+            stream.last_sent_at = Instant::now();
+        }
+    }
+
+    fn send_heartbeats(&self, address: usize, mut peer: Peer) {
+        peer.send("200");
+        while self.is_served(address) && !peer.closed() {
+            std::thread::sleep(HEARTBEAT_INTERVAL);
+            peer.send(HEARTBEAT_CHUNK);
+        }
+    }
+
+    fn trickle(&self, mut peer: Peer) {
+        peer.send("200");
+        let first = self.service.endpoints.delta_since(0);
+        for character in first.text.chars() {
+            if peer.closed() {
+                return;
+            }
+            peer.send(&format!("raw 1\\r\\n{character}\\r\\n"));
+            std::thread::sleep(TRICKLE_INTERVAL);
+        }
+    }
+
+    /// A service that is older than what it has sent before: its list lacks the last changes, and
+    /// it catches up some time later.
+    fn watch_outdated(&self, address: usize, mut peer: Peer) {
+        let list = self.service.endpoints.outdated_snapshot();
+        peer.send("200");
+        self.send_line(address, &mut peer, &list);
+        std::thread::sleep(match self.lists {
+            Lists::Asked => SERVICE_LAG,
+            Lists::Pushed => AGENT_LAG,
+        });
+        // The dispatcher may have given the watch up meanwhile.
+        if peer.closed() {
+            return;
+        }
+        self.watch(address, peer, list.version);
+    }
+
+    fn address_state(&self, address: usize) -> OldAddress {
+        self.state.lock().unwrap().address_state(address)
+    }
+
+    /// Whether watches go on at an address, silent or not.
+    fn is_served(&self, address: usize) -> bool {
+        self.service.is_up() && self.address_state(address) != OldAddress::Dead
+    }
+
+    /// Returns the index of the watch.
+    fn note_opened(&self, opened_at: Instant) -> usize {
+        let mut state = self.state.lock().unwrap();
+        state.watches.push(Watch {
+            opened_at,
+            silent_since: None,
+            closed_at: None,
+        });
+        state.watches.len() - 1
+    }
+
+    fn note_closed(&self, watch: usize) {
+        self.state.lock().unwrap().watches[watch].closed_at = Some(Instant::now());
+    }
+
+    fn note_sent(&self, address: usize, version: u64) {
+        let mut state = self.state.lock().unwrap();
+        let now = Instant::now();
+        state.sent_versions.push(SentVersion { at: now, version });
+        let moves = state.moves.iter_mut();
+        for moved in moves.filter(|moved| moved.address == address) {
+            moved.first_list_at.get_or_insert(now);
+        }
+    }
+}
+
+/// The version that a request asks for the changes since; none if it asks for the whole list.
+fn watch_from(request: &str) -> Option<u64> {
+    let rest = request.split("index=").nth(1)?;
+    let digits = rest.split(' ').next().unwrap_or_default();
+    Some(digits.parse().unwrap_or(0))
+}
+
+fn refuse(mut peer: Peer, failure: Failure) {
+    match failure {
+        Failure::Unavailable => {
+            peer.send("raw HTTP/1.1 503 Service Unavailable\\r\\nContent-Length: 0\\r\\n\\r\\n");
+        }
+        Failure::Reset => peer.reset(),
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/processes/endpoints.rs
@@ -0,0 +1,230 @@
+//! Endpoints that serve at once, hang or reset, and the list of them that discovery has.
+
+use crate::{Peer, endpoint_line, listing, serve_each};
+use std::net::TcpListener;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// How long a job takes.
+const JOB_DURATION: Duration = Duration::from_millis(10);
+/// How long an endpoint that hangs keeps a connection open.
+const HANG_DURATION: Duration = Duration::from_secs(2);
+/// How many changes an outdated list lacks.
+const OUTDATED_BY: usize = 3;
+
+/// The status of an endpoint in the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListedStatus {
+    /// It takes jobs.
+    Ready,
+    /// It takes no new jobs.
+    Draining,
+    /// It is gone.
+    Gone,
+}
+
+impl ListedStatus {
+    fn as_str(self) -> &'static str {
+        match self {
+            ListedStatus::Ready => "ready",
+            ListedStatus::Draining => "draining",
+            ListedStatus::Gone => "gone",
+        }
+    }
+}
+
+/// What an endpoint does with a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Behavior {
+    /// It serves the request.
+    Serves,
+    /// It reads the request and sends nothing.
+    Hangs,
+    /// It reads the request and resets the connection.
+    Resets,
+}
+
+/// A change of the list.
+#[derive(Clone, Copy, Debug)]
+pub struct ListChange {
+    /// When it was made.
+    pub at: Instant,
+    /// The version of the list that it made.
+    pub version: u64,
+    /// The index of the endpoint.
+    pub endpoint: usize,
+    /// Its status from then on.
+    pub status: ListedStatus,
+}
+
+/// A list, or the changes to one, as the discovery service sends it.
+pub struct ListMessage {
+    /// The version of the list that it leads to.
+    pub version: u64,
+    /// Its JSON.
+    pub text: String,
+}
+
+/// A request that an endpoint has read.
+#[derive(Clone, Debug)]
+pub struct Arrival {
+    /// When it was read. Its first byte may have come earlier.
+    pub at: Instant,
+    /// The index of the endpoint.
+    pub endpoint: usize,
+    /// Its `X-Txn`.
+    pub id: String,
+    /// The remaining time that the dispatcher gives it.
+    pub remaining: Option<Duration>,
+}
+
+/// All endpoints.
+pub struct Endpoints {
+    ports: Vec<u16>,
+    behaviors: Mutex<Vec<Behavior>>,
+    changes: Mutex<Vec<ListChange>>,
+    arrivals: Mutex<Vec<Arrival>>,
+}
+
+impl Endpoints {
+    /// Starts so many, all ready.
+    pub fn start(count: usize) -> Arc<Endpoints> {
+        let bind = |_| TcpListener::bind("127.0.0.1:0").unwrap();
+        let listeners: Vec<_> = (0..count).map(bind).collect();
+        let port = |listener: &TcpListener| listener.local_addr().unwrap().port();
+        let endpoints = Arc::new(Endpoints {
+            ports: listeners.iter().map(port).collect(),
+            behaviors: Mutex::new(vec![Behavior::Serves; count]),
+            changes: Mutex::default(),
+            arrivals: Mutex::default(),
+        });
+        for (endpoint, listener) in listeners.into_iter().enumerate() {
+            let endpoints = endpoints.clone();
+            serve_each(listener, move |peer| endpoints.serve(endpoint, peer));
+        }
+        endpoints
+    }
+
+    fn serve(&self, endpoint: usize, mut peer: Peer) {
+        while let Ok(request) = peer.message() {
+            let arrival = Arrival::parse(endpoint, &request);
+            self.arrivals.lock().unwrap().push(arrival);
+            let behavior = self.behaviors.lock().unwrap()[endpoint];
+            match behavior {
+                Behavior::Serves => {
+                    std::thread::sleep(JOB_DURATION);
+                    peer.send("done yes");
+                }
+                Behavior::Hangs => std::thread::sleep(HANG_DURATION),
+                Behavior::Resets => return peer.reset(),
+            }
+        }
+    }
+
+    /// How many there are.
+    pub fn count(&self) -> usize {
+        self.ports.len()
+    }
+
+    /// Sets what an endpoint does from now on.
+    pub fn set_behavior(&self, endpoint: usize, behavior: Behavior) {
+        self.behaviors.lock().unwrap()[endpoint] = behavior;
+    }
+
+    /// Changes the status of an endpoint in the list.
+    pub fn set_status(&self, endpoint: usize, status: ListedStatus) {
+        let mut changes = self.changes.lock().unwrap();
+        let version = changes.len() as u64 + 1;
+        changes.push(ListChange {
+            at: Instant::now(),
+            version,
+            endpoint,
+            status,
+        });
+    }
+
+    /// The version of the list.
+    pub fn version(&self) -> u64 {
+        self.changes.lock().unwrap().len() as u64
+    }
+
+    /// All changes so far.
+    pub fn changes(&self) -> Vec<ListChange> {
+        self.changes.lock().unwrap().clone()
+    }
+
+    /// All requests that were read so far.
+    pub fn arrivals(&self) -> Vec<Arrival> {
+        self.arrivals.lock().unwrap().clone()
+    }
+
+    /// The whole list.
+    pub fn snapshot(&self) -> ListMessage {
+        self.snapshot_after(&self.changes())
+    }
+
+    /// The whole list as it was before the last changes.
+    pub fn outdated_snapshot(&self) -> ListMessage {
+        let mut changes = self.changes();
+        changes.truncate(changes.len().saturating_sub(OUTDATED_BY));
+        self.snapshot_after(&changes)
+    }
+
+    fn snapshot_after(&self, changes: &[ListChange]) -> ListMessage {
+        let status = |endpoint| {
+            let mut latest_first = changes.iter().rev();
+            let last = latest_first.find(|change| change.endpoint == endpoint);
+            last.map_or(ListedStatus::Ready, |change| change.status)
+        };
+        let lines: Vec<String> = (0..self.count())
+            .filter(|&endpoint| status(endpoint) != ListedStatus::Gone)
+            .map(|endpoint| self.line(endpoint, status(endpoint)))
+            .collect();
+        let version = changes.len() as u64;
+        ListMessage {
+            version,
+            text: listing(version, true, &lines),
+        }
+    }
+
+    /// How many lines have changed since this version.
+    pub fn changed_since(&self, version: u64) -> usize {
+        self.version().saturating_sub(version) as usize
+    }
+
+    /// What has changed since this version.
+    pub fn delta_since(&self, version: u64) -> ListMessage {
+        let changes = self.changes();
+        let lines: Vec<String> = changes
+            .iter()
+            .filter(|change| change.version > version)
+            .map(|change| self.line(change.endpoint, change.status))
+            .collect();
+        let version = changes.len() as u64;
+        ListMessage {
+            version,
+            text: listing(version, false, &lines),
+        }
+    }
+
+    fn line(&self, endpoint: usize, status: ListedStatus) -> String {
+        let name = format!("w{endpoint:02}");
+        endpoint_line(&name, self.ports[endpoint], status.as_str())
+    }
+}
+
+impl Arrival {
+    /// A request that was read just now.
+    fn parse(endpoint: usize, request: &str) -> Arrival {
+        let at = Instant::now();
+        let header = |name: &str| request.lines().find_map(|line| line.strip_prefix(name));
+        Arrival {
+            at,
+            endpoint,
+            id: header("x-txn: ").unwrap_or_default().to_owned(),
+            remaining: header("x-remaining-ms: ")
+                .and_then(|millis| millis.parse().ok())
+                .map(Duration::from_millis),
+        }
+    }
+}
--- a/crates/test-support/src/processes/service.rs
+++ b/crates/test-support/src/processes/service.rs
@@ -1,146 +1,177 @@
-//! Discovery as one service for all dispatchers: it works through calls in turn, with a capacity of
-//! its own.
+//! The discovery service that all dispatchers share. It serves calls one after the other, at a cost
+//! that faults raise, and it can be down.
 
-use super::workers::Workers;
+use super::endpoints::Endpoints;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A call that waits for its turn for longer than this fails, and is worked through all the same.
-const WAITS_MOST: Duration = Duration::from_secs(2);
+/// A call that waits longer than this for its turn fails, and costs the service all the same.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It is answered 503.
+    /// The response is a 503.
     Unavailable,
     /// Its connection is reset.
     Reset,
 }
 
-/// What a call costs the service.
+/// The time that a call takes the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Each call.
+    /// For each call.
     pub call: Duration,
-    /// And each line of its answer.
+    /// For each line of its response.
     pub line: Duration,
 }
 
 /// The usual cost: a small fleet is served at once.
-pub const CHEAP: Cost = Cost {
+pub const USUAL_COST: Cost = Cost {
     call: Duration::from_millis(2),
     line: Duration::from_micros(100),
 };
 
-/// The service, which all dispatchers share.
-pub struct Service {
-    /// Whose list it tells.
-    pub workers: Arc<Workers>,
+/// A time during which the service is up.
+struct UpTime {
+    from: Instant,
+    /// None while it lasts.
+    to: Option<Instant>,
+}
+
+/// How calls fail while the service is down.
+#[derive(Clone, Copy)]
+struct Outage {
+    failure: Failure,
+    /// How long a call takes to fail.
+    delay: Duration,
+}
+
+/// The service.
+pub struct DiscoveryService {
+    /// The endpoints that it lists.
+    pub endpoints: Arc<Endpoints>,
     state: Mutex<State>,
 }
 
 struct State {
-    /// When it went up and down in turn; it is up after an odd number.
-    turns: Vec<Instant>,
-    /// How calls fail while it is down, and after what time.
-    down: (Failure, Duration),
+    up_times: Vec<UpTime>,
+    outage: Outage,
     cost: Cost,
-    /// How calls fail that waited too long.
-    crowded: Failure,
-    /// When it has worked through all calls so far.
-    free: Instant,
+    /// How calls fail that wait too long.
+    overload_failure: Failure,
+    /// When all calls so far are served.
+    free_at: Instant,
 }
 
 impl State {
-    fn up(&self) -> bool {
-        self.turns.len() % 2 == 1
+    fn is_up(&self) -> bool {
+        self.up_times.last().is_some_and(|last| last.to.is_none())
     }
 }
 
-impl Service {
-    /// One that is up.
-    pub fn start(workers: Arc<Workers>) -> Arc<Service> {
+/// The place of a call among all calls.
+struct Turn {
+    ends_at: Instant,
+    /// The failure of a call that would wait too long.
+    failure: Option<Failure>,
+}
+
+impl DiscoveryService {
+    /// A service that is up.
+    pub fn start(endpoints: Arc<Endpoints>) -> Arc<DiscoveryService> {
         let now = Instant::now();
-        let down = (Failure::Unavailable, Duration::ZERO);
-        let crowded = Failure::Unavailable;
         let state = State {
-            turns: vec![now],
-            down,
-            cost: CHEAP,
-            crowded,
-            free: now,
+            up_times: vec![UpTime {
+                from: now,
+                to: None,
+            }],
+            outage: Outage {
+                failure: Failure::Unavailable,
+                delay: Duration::ZERO,
+            },
+            cost: USUAL_COST,
+            overload_failure: Failure::Unavailable,
+            free_at: now,
         };
-        Arc::new(Service {
-            workers,
+        Arc::new(DiscoveryService {
+            endpoints,
             state: Mutex::new(state),
         })
     }
 
-    /// Waits for the turn of a call whose answer has so many lines.
+    /// Waits for the turn of a call whose response has so many lines.
     pub fn take_turn(&self, lines: usize) -> Result<(), Failure> {
-        let arrived = Instant::now();
-        let (done, crowded) = {
-            let mut state = self.state.lock().unwrap();
-            if !state.up() {
-                let (failure, after) = state.down;
-                drop(state);
-                std::thread::sleep(after);
-                return Err(failure);
-            }
-            let begins = state.free.max(arrived);
-            state.free = begins + state.cost.call + state.cost.line * lines as u32;
-            (
-                state.free,
-                (begins - arrived > WAITS_MOST).then_some(state.crowded),
-            )
-        };
-        if let Some(failure) = crowded {
-            std::thread::sleep(WAITS_MOST);
+        let turn = self.enqueue(lines).map_err(|outage| {
+            std::thread::sleep(outage.delay);
+            outage.failure
+        })?;
+        if let Some(failure) = turn.failure {
+            std::thread::sleep(MAX_WAIT);
             return Err(failure);
         }
-        std::thread::sleep(done.saturating_duration_since(Instant::now()));
-        match self.is_up() {
-            true => Ok(()),
-            false => Err(self.state.lock().unwrap().down.0),
+        std::thread::sleep(turn.ends_at.saturating_duration_since(Instant::now()));
+        let state = self.state.lock().unwrap();
+        if state.is_up() {
+            Ok(())
+        } else {
+            Err(state.outage.failure)
+        }
+    }
+
+    fn enqueue(&self, lines: usize) -> Result<Turn, Outage> {
+        let arrived_at = Instant::now();
+        let mut state = self.state.lock().unwrap();
+        if !state.is_up() {
+            return Err(state.outage);
         }
+        let begins_at = state.free_at.max(arrived_at);
+        state.free_at = begins_at + state.cost.call + state.cost.line * lines as u32;
+        let waits_too_long = begins_at - arrived_at > MAX_WAIT;
+        Ok(Turn {
+            ends_at: state.free_at,
+            failure: waits_too_long.then_some(state.overload_failure),
+        })
     }
 
     /// Whether it is up.
     pub fn is_up(&self) -> bool {
-        self.state.lock().unwrap().up()
+        self.state.lock().unwrap().is_up()
     }
 
-    /// It goes down; calls fail in this way after this time, and its watches end.
-    pub fn go_down(&self, failure: Failure, after: Duration) {
+    /// Takes it down: its watches end, and calls fail in this way after this delay.
+    pub fn go_down(&self, failure: Failure, delay: Duration) {
         let mut state = self.state.lock().unwrap();
-        if state.up() {
-            state.turns.push(Instant::now());
+        if let Some(last) = state.up_times.last_mut() {
+            last.to.get_or_insert_with(Instant::now);
         }
-        state.down = (failure, after);
+        state.outage = Outage { failure, delay };
     }
 
-    /// It is up again.
+    /// Brings it up again.
     pub fn come_up(&self) {
         let mut state = self.state.lock().unwrap();
-        if !state.up() {
-            state.turns.push(Instant::now());
+        if !state.is_up() {
+            state.up_times.push(UpTime {
+                from: Instant::now(),
+                to: None,
+            });
         }
     }
 
-    /// Calls cost so much from now on, and those that wait too long fail in this way.
-    pub fn set_cost(&self, cost: Cost, crowded: Failure) {
+    /// Sets the cost of calls from now on, and how those fail that wait too long.
+    pub fn set_cost(&self, cost: Cost, overload_failure: Failure) {
         let mut state = self.state.lock().unwrap();
-        (state.cost, state.crowded) = (cost, crowded);
+        state.cost = cost;
+        state.overload_failure = overload_failure;
     }
 
-    /// When it first had a change that was made at this time and could be reached; never, if it
-    /// stayed down.
-    pub fn reachable_from(&self, changed: Instant) -> Option<Instant> {
+    /// When the service was first up with a change that was made at this time; none if it has not
+    /// been up since.
+    pub fn reachable_from(&self, changed_at: Instant) -> Option<Instant> {
         let state = self.state.lock().unwrap();
-        let mut ups = state
-            .turns
-            .chunks(2)
-            .filter(|turn| turn.get(1).is_none_or(|&down| down > changed));
-        ups.next().map(|turn| turn[0].max(changed))
+        let mut up_times = state.up_times.iter();
+        let first = up_times.find(|time| time.to.is_none_or(|to| to > changed_at))?;
+        Some(first.from.max(changed_at))
     }
 }
--- /dev/null
+++ b/crates/test-support/src/scenario.rs
@@ -0,0 +1,301 @@
+//! A small language for scenarios on loopback: a line for each step of a peer.
+//!
+//! ```text
+//! c send POST /rate-push/k t1 5000 body   a client's request: path, X-Txn, X-Remaining-Ms, body
+//! g send [SUBMIT_JOB rate-push|u1|body]   a Gearman packet; names of Gearman peers start with g
+//! w1 wait a                               endpoint w1 accepts a connection, whose peer is called a
+//! a expect POST /rate-push/k t1           a request: start of its first line, and texts in it;
+//!                                         `!text` for what is not in it, `\x20` for a blank and
+//!                                         `\x09` for a tab
+//! a send 200                              the head of a chunked response
+//! a send + {"id":"t1","from":"w1",…}      a line of it; `a send .` ends it
+//! a send json {…}                         a whole response with this body
+//! a send done 42                          head, last line and end, for the request read last
+//! c expect 200 42                         a response: its status, and texts in it
+//! g expect [JOB_CREATED $h]               a packet; * matches anything, $h binds it for later use
+//! c send raw text\r\n                     as it stands
+//! c close                                 c expect end: the other side has closed
+//! ```
+//!
+//! A peer that is not there yet connects to the dispatcher. Each `expect` and `wait` fails after
+//! some seconds.
+
+use crate::listing::endpoint_line;
+use crate::peer::{Peer, TIMEOUT, accept};
+use pumiceway_net::config::{Config, GearmanConfig, Reload, ZooKeeperConfig};
+use pumiceway_net::event_loop::Dispatcher;
+use std::collections::HashMap;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+use tokio::sync::{mpsc::UnboundedReceiver, mpsc::UnboundedSender, oneshot};
+
+/// The settings of the scenarios: no health checks, one zone, no slow start.
+pub const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
+  "lanes":[{"name":"rate-push","aim-us":500000,"deadline-us":5000000,"points":2.0,"semantics":"read_like"},
+    {"name":"booking-import","aim-us":1500000,"deadline-us":6000000,"points":3.0,"semantics":"non_idempotent"}],
+  "family-info":{"class-stretch":[2.5,2.0],"tells-start":true,"progress-us":2000000},
+  "limits":{"most-tries":6,"cancel":true,"second-copies":false,"retry-after":true,
+    "max-retry-after-us":2000000,"connect-timeout-us":250000,"conn-idle-us":15000000},"rules":{}}"#;
+
+/// The listener that is no endpoint, but the discovery service.
+const DISCOVERY: &str = "discovery";
+/// How often the endpoint set is looked at.
+const LIST_POLL: Duration = Duration::from_millis(2);
+
+/// A dispatcher on a thread of its own, and stand-ins around it.
+pub struct Stage {
+    /// Where its HTTP frontend listens.
+    pub http: SocketAddr,
+    /// Where its Gearman frontend listens.
+    pub gearman: SocketAddr,
+    listeners: HashMap<String, TcpListener>,
+    peers: HashMap<String, Peer>,
+    /// What the patterns of packets have bound.
+    variables: HashMap<String, String>,
+    reload: UnboundedSender<Reload>,
+    stop: Option<oneshot::Sender<()>>,
+    thread: Option<JoinHandle<()>>,
+}
+
+/// A dispatcher that runs on a thread of its own.
+struct RunningDispatcher {
+    http: SocketAddr,
+    gearman: SocketAddr,
+    reload: UnboundedSender<Reload>,
+    stop: oneshot::Sender<()>,
+    thread: JoinHandle<()>,
+}
+
+impl Stage {
+    /// A dispatcher whose bootstrap list has these endpoints. One named `discovery` is the
+    /// discovery service instead.
+    pub fn new(endpoints: &[&str]) -> Stage {
+        Stage::with(endpoints, None)
+    }
+
+    /// The same, beside an endpoint set in ZooKeeper.
+    pub fn with(endpoints: &[&str], zookeeper: Option<ZooKeeperConfig>) -> Stage {
+        Stage::with_settings(endpoints, zookeeper, SETTINGS)
+    }
+
+    /// The same, with settings of its own.
+    pub fn with_settings(
+        endpoints: &[&str],
+        zookeeper: Option<ZooKeeperConfig>,
+        settings: &str,
+    ) -> Stage {
+        let listeners = bind_listeners(endpoints);
+        let text = config_text(endpoints, &listeners, settings);
+        let mut config = Config::from_text(&text, "config", |_| None).unwrap();
+        config.gearman = Some(gearman_config(&config));
+        config.zookeeper = zookeeper;
+        let dispatcher = run_dispatcher(config);
+        Stage {
+            http: dispatcher.http,
+            gearman: dispatcher.gearman,
+            listeners,
+            peers: HashMap::new(),
+            variables: HashMap::new(),
+            reload: dispatcher.reload,
+            stop: Some(dispatcher.stop),
+            thread: Some(dispatcher.thread),
+        }
+    }
+
+    /// Plays a scenario in front of these endpoints.
+    pub fn play(endpoints: &[&str], scenario: &str) -> Stage {
+        let mut stage = Stage::new(endpoints);
+        stage.go_on(scenario);
+        stage
+    }
+
+    /// Plays a further scenario.
+    pub fn go_on(&mut self, scenario: &str) {
+        let lines = scenario.lines().map(str::trim);
+        for line in lines.filter(|line| !line.is_empty() && !line.starts_with('#')) {
+            self.play_line(line);
+        }
+    }
+
+    fn play_line(&mut self, line: &str) {
+        let (peer, step) = line
+            .split_once(' ')
+            .unwrap_or_else(|| panic!("{line}: no verb"));
+        let (verb, argument) = step.split_once(' ').unwrap_or((step, ""));
+        match verb {
+            "send" => {
+                let message = self.replace_variables(argument);
+                self.peer(peer).send(&message);
+            }
+            "expect" => {
+                let bound = self.peer(peer).expect(argument);
+                let bound = bound.unwrap_or_else(|error| panic!("{line}: {error}"));
+                self.variables.extend(bound);
+            }
+            "wait" => {
+                let stream = accept(&self.listeners[peer])
+                    .unwrap_or_else(|| panic!("{line}: nobody connected"));
+                self.peers.insert(argument.to_owned(), Peer::new(stream));
+            }
+            "close" => drop(self.peers.remove(peer)),
+            _ => panic!("{line}: no such verb"),
+        }
+    }
+
+    fn replace_variables(&self, message: &str) -> String {
+        let mut replaced = message.to_owned();
+        for (name, value) in &self.variables {
+            replaced = replaced.replace(&format!("${name}"), value);
+        }
+        replaced
+    }
+
+    /// A peer, which connects if it is not there yet.
+    fn peer(&mut self, name: &str) -> &mut Peer {
+        let address = if name.starts_with('g') {
+            self.gearman
+        } else {
+            self.http
+        };
+        self.peers
+            .entry(name.to_owned())
+            .or_insert_with(|| Peer::new(TcpStream::connect(address).unwrap()))
+    }
+
+    /// Hands a listener out, for a stand-in that acts by itself.
+    pub fn take(&mut self, name: &str) -> TcpListener {
+        self.listeners.remove(name).unwrap()
+    }
+
+    /// Adds a listener, for endpoints that are listed elsewhere.
+    pub fn add(&mut self, name: &str, listener: TcpListener) {
+        self.listeners.insert(name.to_owned(), listener);
+    }
+
+    /// The port of a listener.
+    pub fn port(&self, name: &str) -> u16 {
+        self.listeners[name].local_addr().unwrap().port()
+    }
+
+    /// Reloads the configuration of the dispatcher, with discovery at this listener.
+    pub fn reload(&mut self, name: &str) {
+        let discovery = self.listeners[name].local_addr().unwrap().to_string();
+        let reload = Reload {
+            discovery,
+            restart_required: vec![],
+        };
+        self.reload.send(reload).unwrap();
+    }
+
+    /// Has a peer send chunks of a single byte, one per interval, until it is over.
+    pub fn trickle(
+        &mut self,
+        peer: &str,
+        interval: Duration,
+        is_over: impl Fn() -> bool + Send + 'static,
+    ) -> JoinHandle<()> {
+        let mut peer = self.peers.remove(peer).unwrap();
+        std::thread::spawn(move || peer.trickle(interval, is_over))
+    }
+
+    /// Waits until the endpoint set shows an endpoint in a state.
+    pub fn until_listed(&mut self, endpoint: &str, state: &str) {
+        let line = format!("{endpoint}\t{state}\t");
+        let end = Instant::now() + TIMEOUT;
+        loop {
+            let mut peer = Peer::new(TcpStream::connect(self.gearman).unwrap());
+            peer.send("raw routes\\n");
+            let listed = peer.text_to(".\n");
+            if listed.contains(&line) {
+                return;
+            }
+            assert!(Instant::now() < end, "no {line:?} in {listed}");
+            std::thread::sleep(LIST_POLL);
+        }
+    }
+
+    /// Asks the dispatcher to stop.
+    pub fn stop(&mut self) {
+        drop(self.stop.take());
+    }
+
+    /// Waits until it has ended.
+    pub fn ended(&mut self) {
+        self.thread.take().unwrap().join().unwrap();
+    }
+}
+
+fn bind_listeners(names: &[&str]) -> HashMap<String, TcpListener> {
+    let bind = |name: &&str| (name.to_string(), TcpListener::bind("127.0.0.1:0").unwrap());
+    names.iter().map(bind).collect()
+}
+
+fn config_text(names: &[&str], listeners: &HashMap<String, TcpListener>, settings: &str) -> String {
+    let address = |name: &str| listeners[name].local_addr().unwrap();
+    let bootstrap_list: Vec<String> = names
+        .iter()
+        .filter(|name| !name.starts_with(DISCOVERY))
+        .map(|name| endpoint_line(name, address(name).port(), "ready"))
+        .collect();
+    let bootstrap_list = bootstrap_list.join(",");
+    let discovery = if names.contains(&DISCOVERY) {
+        format!(r#""discovery":"{}","#, address(DISCOVERY))
+    } else {
+        String::new()
+    };
+    format!(
+        r#"{{"listen":"127.0.0.1:0","seed":"7",{discovery}"known":{{"index":1,"snapshot":true,"endpoints":[{bootstrap_list}]}},"settings":{settings}}}"#
+    )
+}
+
+/// The configuration of a Gearman frontend, which is read from a file of its own.
+fn gearman_config(config: &Config) -> GearmanConfig {
+    let file = std::env::temp_dir().join(format!(
+        "pumiceway-{}-{:?}.toml",
+        std::process::id(),
+        std::thread::current().id()
+    ));
+    std::fs::write(&file, "listen = \"127.0.0.1:0\"\n").unwrap();
+    let gearman =
+        GearmanConfig::from_file(&file, &config.deployment, config.sockets.inbound).unwrap();
+    std::fs::remove_file(&file).unwrap();
+    gearman
+}
+
+fn run_dispatcher(config: Config) -> RunningDispatcher {
+    let (stop, stopped) = oneshot::channel();
+    let (reload, reloads) = tokio::sync::mpsc::unbounded_channel();
+    let (addresses, bound) = mpsc::channel();
+    let thread = std::thread::spawn(move || serve(config, addresses, stopped, reloads));
+    let (http, gearman) = bound.recv().unwrap();
+    RunningDispatcher {
+        http,
+        gearman: gearman.unwrap(),
+        reload,
+        stop,
+        thread,
+    }
+}
+
+/// Runs a dispatcher until it is stopped. Sends the addresses of its frontends once they listen.
+fn serve(
+    config: Config,
+    addresses: mpsc::Sender<(SocketAddr, Option<SocketAddr>)>,
+    stopped: oneshot::Receiver<()>,
+    reloads: UnboundedReceiver<Reload>,
+) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        let dispatcher = Dispatcher::bind(config).await.unwrap();
+        addresses.send(dispatcher.addresses().unwrap()).unwrap();
+        dispatcher
+            .run(async { drop(stopped.await) }, reloads)
+            .await
+            .unwrap();
+    });
+}
--- a/crates/test-support/tests/fleet.rs
+++ b/crates/test-support/tests/fleet.rs
@@ -1,19 +1,27 @@
-//! The rules over whole fleets, small and large, in one process. `SOAK` plays more seeds.
+//! The rules over whole fleets, small and large, for each deployment and day. `SOAK` plays more
+//! seeds.
 
 use pumiceway_test_support::fleet::*;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
 
-/// Plays all of these, as many at a time as there are cores, in the order given.
-fn all(plans: Vec<Plan>) -> Vec<(Plan, Counts)> {
-    let (next, results) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
-    let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
+/// An instance spreads its first call to discovery over this time for each instance of the fleet.
+const CALL_SPREAD_EACH: Duration = Duration::from_millis(50);
+/// Calls of a fleet are spread over a second at least.
+const MIN_CALL_SPREAD: Duration = Duration::from_secs(1);
+
+/// Plays all plans, as many at a time as there are cores. Returns them sorted by plan.
+fn play_all(plans: Vec<Plan>) -> Vec<(Plan, Summary)> {
+    let next = AtomicUsize::new(0);
+    let results = Mutex::new(Vec::new());
+    let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
     std::thread::scope(|scope| {
         for _ in 0..cores.min(plans.len()) {
             scope.spawn(|| {
                 while let Some(&plan) = plans.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let counts = play(plan);
-                    results.lock().unwrap().push((plan, counts));
+                    let summary = play(plan);
+                    results.lock().unwrap().push((plan, summary));
                 }
             });
         }
@@ -23,83 +31,99 @@
     results
 }
 
-fn plan(instances: usize, endpoints: usize, day: Day) -> Plan {
+fn polled(instances: usize, endpoints: usize, day: Day) -> Plan {
     Plan {
-        site: Site::Asked,
+        deployment: Deployment::Polled,
         instances,
         endpoints,
         day,
         seed: 1,
-        planted: None,
+        injected_fault: None,
     }
 }
 
 fn pushed(instances: usize, endpoints: usize, day: Day) -> Plan {
     Plan {
-        site: Site::Pushed,
-        ..plan(instances, endpoints, day)
+        deployment: Deployment::Pushed,
+        ..polled(instances, endpoints, day)
     }
 }
 
-fn planted(planted: Planted, day: Day) -> Counts {
+fn with_fault(fault: InjectedFault, day: Day) -> Summary {
     play(Plan {
-        planted: Some(planted),
-        ..plan(30, 20, day)
+        injected_fault: Some(fault),
+        ..polled(30, 20, day)
     })
 }
 
-/// What the settings allow: each is a rule, or what keeps one.
-fn keeps(plan: Plan, c: &Counts) {
-    let (s, asked) = (settings(plan, 0), plan.site == Site::Asked);
-    let what = format!("{plan:?}: {c:?}");
-    assert!(c.broken.is_empty(), "{what}");
+/// Asserts what the settings of a plan allow: each assertion is a rule, or what keeps one.
+fn assert_rules_hold(plan: Plan, summary: &Summary) {
+    let is_polled = plan.deployment == Deployment::Polled;
+    let context = format!("{plan:?}: {summary:?}");
+    assert!(summary.violations.is_empty(), "{context}");
     // Where jobs differ in length a few long ones may come together.
-    let chance = if asked { 0.0 } else { 0.15 };
+    let tolerance = if is_polled { 0.0 } else { 0.15 };
     assert!(
-        c.cold <= 1.0 + chance,
-        "a cold next hop is pushed over: {what}"
+        summary.peak_slow_start_load <= 1.0 + tolerance,
+        "an endpoint is overloaded in its slow start: {context}"
     );
-    // Where lists are pushed, what the agent has counts as told from the first moment on.
-    let first = if asked { TOLD } else { GRACE };
-    assert!(c.first_told <= first && c.change_told <= TOLD, "{what}");
-    // They draw their first calls from 50 ms each, or half of `ask-within` where that is less; and
-    // what comes by chance on top.
-    let hops = if plan.day == Day::Grown {
-        2 * plan.endpoints
+    // Where lists are pushed, an instance counts as notified of what its agent has from the start.
+    let first_list_limit = if is_polled {
+        NOTIFICATION_LIMIT
     } else {
-        plan.endpoints
+        DRAIN_GRACE
     };
-    let spread = (50_000 * plan.instances.max(2) as u64)
-        .min(s.max_poll_interval.as_micros() as u64 / 2)
-        .max(SECOND);
-    let mut mean = plan.instances as f64 * SECOND as f64 / spread as f64;
-    // A new configuration reaches an eighth of them a second, which call within another.
-    if plan.day == Day::Moved {
-        mean += plan.instances as f64 / 8.0;
-    }
-    // Where lists are pushed each calls an agent of its own, at no cost to the others.
     assert!(
-        !asked || (c.calls as f64) <= mean + 5.0 * mean.sqrt() + 1.0,
-        "{what}"
+        summary.max_first_list_delay <= first_list_limit
+            && summary.max_change_delay <= NOTIFICATION_LIMIT,
+        "{context}"
+    );
+    // Where lists are pushed each instance calls an agent of its own, at no cost to the others.
+    assert!(
+        !is_polled || (summary.peak_discovery_calls as f64) <= max_calls_per_second(plan),
+        "{context}"
+    );
+    assert!(
+        summary.health_checks as f64 <= max_health_checks(plan, summary),
+        "{context}"
     );
-    // Two probes for a transaction and eight saved up in each life of an instance. Where next hops
-    // outnumber the instances they are asked in turn as well, each at first and one for each
-    // transaction, in that proportion.
-    let share = (1.5 - 1.5 * plan.instances as f64 / hops as f64).clamp(0.0, 1.0);
-    let each = 2.0 + share;
-    let first = 2 * plan.instances * (8 + (share * hops as f64) as usize);
-    // What asks suspected next hops for a sign of life comes on top: less than a tenth, as measured
-    // over seeds.
+    assert!(summary.connections <= 2 * summary.requests, "{context}");
     assert!(
-        c.health_checks as f64 <= 1.1 * each * c.transactions as f64 + first as f64,
-        "{what}"
+        summary.served + summary.overloaded + summary.failed <= summary.requests,
+        "{context}"
     );
-    assert!(c.connections <= 2 * c.transactions, "{what}");
-    assert!(c.served + c.busy + c.failed <= c.transactions, "{what}");
 }
 
-// Guards against a rule that holds for a small site and breaks over a fleet, or the other way
-// round.
+/// Instances draw their first calls from 50 ms for each, or half of the longest poll interval if
+/// that is less. What comes together by chance is on top.
+fn max_calls_per_second(plan: Plan) -> f64 {
+    let spread = (CALL_SPREAD_EACH * plan.instances.max(2) as u32)
+        .min(settings(plan, 0).max_poll_interval / 2)
+        .max(MIN_CALL_SPREAD);
+    let mut mean = plan.instances as f64 * 1e6 / spread.as_micros() as f64;
+    // A new configuration reaches an eighth of them a second, which call within another.
+    if plan.day == Day::DiscoveryMoved {
+        mean += plan.instances as f64 / 8.0;
+    }
+    mean + 5.0 * mean.sqrt() + 1.0
+}
+
+/// Two health checks for a request, and eight saved up in each process of an instance. Where
+/// endpoints outnumber the instances they are checked in turn as well, each at first and one for
+/// each request, in that proportion.
+fn max_health_checks(plan: Plan, summary: &Summary) -> f64 {
+    let endpoints = if plan.day == Day::EndpointsAdded {
+        2 * plan.endpoints
+    } else {
+        plan.endpoints
+    };
+    let in_turn = (1.5 - 1.5 * plan.instances as f64 / endpoints as f64).clamp(0.0, 1.0);
+    let per_request = 2.0 + in_turn;
+    let at_start = 2 * plan.instances * (8 + (in_turn * endpoints as f64) as usize);
+    // Checks of suspected endpoints are on top: less than a tenth, as measured over seeds.
+    1.1 * per_request * summary.requests as f64 + at_start as f64
+}
+
 #[test]
 fn the_rules_hold_on_every_day_at_every_size() {
     let sizes = [
@@ -113,183 +137,217 @@
     ];
     let soak = std::env::var_os("SOAK").is_some();
     let seeds = if soak { 1..=12 } else { 1..=1 };
-    let plans = sizes
-        .iter()
-        .flat_map(|&(i, h)| days(Site::Asked).map(move |day| plan(i, h, day)));
+    let polled_plans = sizes.iter().flat_map(|&(instances, endpoints)| {
+        days(Deployment::Polled).map(move |day| polled(instances, endpoints, day))
+    });
     // Between the small and the large fleet, those days on which the list changes most.
-    let some = [Day::Replaced, Day::ZoneLost, Day::Grown];
-    let plans =
-        plans.filter(|p| soak || (p.instances, p.endpoints) != (100, 200) || some.contains(&p.day));
+    let changing = [Day::EndpointsReplaced, Day::ZoneLost, Day::EndpointsAdded];
+    let polled_plans = polled_plans.filter(|plan| {
+        soak || (plan.instances, plan.endpoints) != (100, 200) || changing.contains(&plan.day)
+    });
     let sizes = [(1, 3), (3, 3), (3, 9), (3, 13), (8, 13), (60, 13)];
-    let others = sizes
-        .iter()
-        .flat_map(|&(i, h)| days(Site::Pushed).map(move |day| pushed(i, h, day)));
-    let plans = plans
-        .chain(others)
-        .flat_map(|p| seeds.clone().map(move |seed| Plan { seed, ..p }))
+    let pushed_plans = sizes.iter().flat_map(|&(instances, endpoints)| {
+        days(Deployment::Pushed).map(move |day| pushed(instances, endpoints, day))
+    });
+    let plans = polled_plans
+        .chain(pushed_plans)
+        .flat_map(|plan| seeds.clone().map(move |seed| Plan { seed, ..plan }))
         .collect();
-    let mut suspended = 0;
-    for (plan, counts) in all(plans) {
-        keeps(plan, &counts);
-        suspended += counts.suspended;
+    let mut resumed_jobs = 0;
+    for (plan, summary) in play_all(plans) {
+        assert_rules_hold(plan, &summary);
+        resumed_jobs += summary.resumed_jobs;
     }
-    assert!(suspended > 0, "the second site's jobs are never suspended");
+    assert!(
+        resumed_jobs > 0,
+        "the jobs of the pushed deployment are never suspended"
+    );
+}
+
+fn others_requested(summary: &Summary) -> f64 {
+    let others = summary.service_by_tenant[1..].iter();
+    others.map(|service| service.requested_weight).sum()
+}
+
+fn others_earned(summary: &Summary) -> f64 {
+    let others = summary.service_by_tenant[1..].iter();
+    others.map(|service| service.earned_weight).sum()
+}
+
+fn requests(summary: &Summary) -> f64 {
+    summary.requests as f64
+}
+
+fn sum(plays: &[(Plan, Summary)], part: fn(&Summary) -> f64) -> f64 {
+    plays.iter().map(|(_, summary)| part(summary)).sum()
 }
 
-// Guards against a tenant's flood that the others pay for; and against a flood that is none, and
-// against a share that is counted as more than it is.
 #[test]
 fn a_flood_of_one_tenant_leaves_the_others_what_they_have_on_a_calm_day() {
-    // Each of eight sees so little of a tenant that it takes some of what is within a share for
+    // Each of eight sees so little of a tenant that it takes some of what is within a quota for
     // more.
-    for (instances, endpoints, near) in [(3, 13, 0.1), (8, 13, 0.25)] {
-        let [calm, flood] = [Day::Calm, Day::Flood].map(|day| {
+    for (instances, endpoints, tolerance) in [(3, 13, 0.1), (8, 13, 0.25)] {
+        let [calm, flood] = [Day::Calm, Day::TenantFlood].map(|day| {
             let seeds = (1..=4).map(|seed| Plan {
                 seed,
                 ..pushed(instances, endpoints, day)
             });
-            all(seeds.collect())
+            play_all(seeds.collect())
         });
-        let sum = |plays: &[(Plan, Counts)], part: fn(&Counts) -> f64| -> f64 {
-            plays.iter().map(|(_, c)| part(c)).sum()
-        };
-        let others: fn(&Counts) -> f64 = |c| c.tenants[1..].iter().map(|t| t.asked).sum();
-        let all: fn(&Counts) -> f64 = |c| c.transactions as f64;
-        assert!(sum(&flood, all) > 2.0 * sum(&calm, all), "{flood:?}");
-        let inside = sum(&flood, others) / sum(&calm, others);
-        assert!((0.85..1.15).contains(&inside), "{inside}");
-        let earned: fn(&Counts) -> f64 = |c| c.tenants[1..].iter().map(|t| t.earned).sum();
-        let service = [&calm, &flood].map(|plays| sum(plays, earned) / sum(plays, others));
         assert!(
-            service[1] > service[0] - near,
+            sum(&flood, requests) > 2.0 * sum(&calm, requests),
+            "{flood:?}"
+        );
+        let within_quota = sum(&flood, others_requested) / sum(&calm, others_requested);
+        assert!((0.85..1.15).contains(&within_quota), "{within_quota}");
+        let service =
+            [&calm, &flood].map(|plays| sum(plays, others_earned) / sum(plays, others_requested));
+        assert!(
+            service[1] > service[0] - tolerance,
             "{instances} {endpoints}: {service:?}"
         );
     }
 }
 
-// Guards against a verdict that changes from play to play.
 #[test]
 fn equal_plans_have_equal_outcomes() {
     for plan in [
-        plan(30, 20, Day::Killed),
-        plan(30, 20, Day::Rude),
-        pushed(3, 13, Day::Rude),
+        polled(30, 20, Day::InstancesKilled),
+        polled(30, 20, Day::ImpatientClients),
+        pushed(3, 13, Day::ImpatientClients),
     ] {
         assert_eq!(play(plan), play(plan));
     }
 }
 
-// Guards against a step where instances come to outnumber next hops.
 #[test]
-fn nothing_jumps_where_instances_outnumber_next_hops() {
-    let side = |sizes: [usize; 3], day| {
-        let plans = sizes.iter().flat_map(|&i| {
+fn nothing_jumps_where_instances_outnumber_endpoints() {
+    let play_sizes = |sizes: [usize; 3], day| {
+        let plans = sizes.iter().flat_map(|&instances| {
             (1..=3).map(move |seed| Plan {
                 seed,
-                ..plan(i, 60, day)
+                ..polled(instances, 60, day)
             })
         });
-        all(plans.collect())
+        play_all(plans.collect())
     };
-    for day in [Day::Calm, Day::Replaced, Day::Grown] {
-        let sides = [side([54, 57, 60], day), side([61, 64, 67], day)];
+    for day in [Day::Calm, Day::EndpointsReplaced, Day::EndpointsAdded] {
+        let sides = [play_sizes([54, 57, 60], day), play_sizes([61, 64, 67], day)];
         let shares = sides.each_ref().map(|plays| {
-            let served: usize = plays.iter().map(|(_, c)| c.served).sum();
-            served as f64 / plays.iter().map(|(_, c)| c.transactions).sum::<usize>() as f64
+            let served: usize = plays.iter().map(|(_, summary)| summary.served).sum();
+            let requests: usize = plays.iter().map(|(_, summary)| summary.requests).sum();
+            served as f64 / requests as f64
         });
         assert!(
             (shares[0] - shares[1]).abs() < 0.01 && shares[0] > 0.97,
             "{day:?}: {shares:?}"
         );
-        // Rounds of probes begun in full at the line take more than the two that a transaction is
-        // allowed.
+        // Rounds of health checks that begin in full where the fleet counts as large take more than
+        // the two that a request is allowed.
         let plays = sides.iter().flatten();
         let health_checks: Vec<f64> = plays
-            .map(|(_, c)| c.health_checks as f64 / c.transactions as f64)
+            .map(|(_, summary)| summary.health_checks as f64 / summary.requests as f64)
             .collect();
         assert!(
-            health_checks.iter().all(|&p| p < 2.0),
+            health_checks.iter().all(|&per_request| per_request < 2.0),
             "{day:?}: {health_checks:?}"
         );
     }
 }
 
-// Guards against three hundred instances that each ask two hundred new next hops as the list grows
-// past them.
 #[test]
-fn a_list_that_grows_past_the_instances_in_mid_day_costs_no_round_of_probes() {
-    let c = play(plan(300, 200, Day::Grown));
+fn a_list_that_grows_past_the_instances_in_mid_day_costs_no_round_of_health_checks() {
+    let summary = play(polled(300, 200, Day::EndpointsAdded));
     assert!(
-        c.health_checks < 2 * c.transactions && c.connections < 2 * c.transactions,
-        "{c:?}"
+        summary.health_checks < 2 * summary.requests && summary.connections < 2 * summary.requests,
+        "{summary:?}"
     );
 }
 
-// Guards against counts that find nothing because they look at nothing: one planted breach for each
-// rule.
+fn found(summary: &Summary, text: &str) -> bool {
+    let mut violations = summary.violations.iter();
+    violations.any(|violation| violation.contains(text))
+}
+
+// One injected fault for each rule shows that the summary looks at what it counts.
 #[test]
-fn planted_breaches_are_found() {
-    let found = |c: &Counts, what: &str| c.broken.iter().any(|b| b.contains(what));
-    let news = planted(Planted::NewsHeldBack, Day::Replaced);
-    assert!(found(&news, "after it was told that it leaves"), "{news:?}");
-    let cold = play(Plan {
-        planted: Some(Planted::ColdUntold),
-        ..plan(20, 20, Day::Replaced)
+fn injected_faults_are_found() {
+    let delayed = with_fault(InjectedFault::ListDelayed, Day::EndpointsReplaced);
+    assert!(
+        found(&delayed, "after it was notified that it leaves"),
+        "{delayed:?}"
+    );
+    let omitted = play(Plan {
+        injected_fault: Some(InjectedFault::StartTimeOmitted),
+        ..polled(20, 20, Day::EndpointsReplaced)
     });
-    assert!(cold.cold > 1.0, "{cold:?}");
-    let alarm = play(Plan {
-        planted: Some(Planted::NoAlarm),
-        ..plan(3, 10, Day::Silent)
+    assert!(omitted.peak_slow_start_load > 1.0, "{omitted:?}");
+    let timer = play(Plan {
+        injected_fault: Some(InjectedFault::TimerLost),
+        ..polled(3, 10, Day::EndpointsSilent)
     });
-    assert!(found(&alarm, "in time"), "{alarm:?}");
-    let twice = planted(Planted::AnsweredTwice, Day::Calm);
-    assert!(found(&twice, "a second answer"), "{twice:?}");
-    let again = planted(Planted::ResetTakenForRefused, Day::Rude);
-    assert!(found(&again, "may have run"), "{again:?}");
-    let early = planted(Planted::EndsEarly, Day::Rolled);
-    assert!(found(&early, "owes"), "{early:?}");
+    assert!(found(&timer, "in time"), "{timer:?}");
+    let repeated = with_fault(InjectedFault::ResponseRepeated, Day::Calm);
+    assert!(found(&repeated, "a second response"), "{repeated:?}");
+    let reset = with_fault(
+        InjectedFault::ResetReportedAsConnectFailed,
+        Day::ImpatientClients,
+    );
+    assert!(found(&reset, "may have run"), "{reset:?}");
+    let early = with_fault(InjectedFault::EarlyExit, Day::RollingRestart);
+    assert!(found(&early, "responses outstanding"), "{early:?}");
     let slow = play(Plan {
-        planted: Some(Planted::SlowPace),
-        ..plan(300, 20, Day::Killed)
+        injected_fault: Some(InjectedFault::DiscoveryCallsSlow),
+        ..polled(300, 20, Day::InstancesKilled)
     });
-    assert!(slow.first_told > TOLD, "{slow:?}");
-    let bootstrap = Some(Planted::BootstrapConfirmed);
-    let day = Day::KilledBeforeDrain;
-    let plays = (1..=4)
-        .map(|seed| Plan {
-            seed,
-            planted: bootstrap,
-            ..plan(30, 20, day)
-        })
-        .collect();
-    let bootstrap = all(plays);
-    let leaves = "after it was told that it leaves";
+    assert!(slow.max_first_list_delay > NOTIFICATION_LIMIT, "{slow:?}");
+    let bootstrap = play_all(
+        (1..=4)
+            .map(|seed| Plan {
+                seed,
+                injected_fault: Some(InjectedFault::BootstrapConfirmed),
+                ..polled(30, 20, Day::InstancesKilledBeforeDrain)
+            })
+            .collect(),
+    );
+    let leaves = "after it was notified that it leaves";
     assert!(
-        bootstrap.iter().any(|(_, c)| found(c, leaves)),
+        bootstrap.iter().any(|(_, summary)| found(summary, leaves)),
         "{bootstrap:?}"
     );
-    // The rules that only the second set has, and those that it words in its own way.
-    let fault = Some(Planted::ResetTakenForRefused);
-    let rude = all((1..=6)
-        .map(|seed| Plan {
-            seed,
-            planted: fault,
-            ..pushed(60, 13, Day::Rude)
-        })
-        .collect());
+}
+
+// The rules that only the pushed deployment has, and those that it words in its own way.
+#[test]
+fn injected_faults_of_the_pushed_deployment_are_found() {
+    let reset = play_all(
+        (1..=6)
+            .map(|seed| Plan {
+                seed,
+                injected_fault: Some(InjectedFault::ResetReportedAsConnectFailed),
+                ..pushed(60, 13, Day::ImpatientClients)
+            })
+            .collect(),
+    );
     let zone = "class 2 is sent to another zone, and may have run";
-    assert!(rude.iter().any(|(_, c)| found(c, zone)), "{rude:?}");
-    let busy = play(Plan {
-        planted: Some(Planted::FailedToldBusy),
-        ..pushed(3, 13, Day::Rude)
+    assert!(
+        reset.iter().any(|(_, summary)| found(summary, zone)),
+        "{reset:?}"
+    );
+    let overloaded = play(Plan {
+        injected_fault: Some(InjectedFault::FailureSentAsOverloaded),
+        ..pushed(3, 13, Day::ImpatientClients)
     });
     assert!(
-        found(&busy, "is answered busy, and may have run"),
-        "{busy:?}"
+        found(&overloaded, "has an overload response, and may have run"),
+        "{overloaded:?}"
     );
-    let news = play(Plan {
-        planted: Some(Planted::NewsHeldBack),
-        ..pushed(3, 13, Day::Replaced)
+    let delayed = play(Plan {
+        injected_fault: Some(InjectedFault::ListDelayed),
+        ..pushed(3, 13, Day::EndpointsReplaced)
     });
-    assert!(found(&news, "after it was told that it leaves"), "{news:?}");
+    assert!(
+        found(&delayed, "after it was notified that it leaves"),
+        "{delayed:?}"
+    );
 }
