--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 lint:
 	cargo fmt --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
 # Needs ROUTER_CONFIG; see the README.
 run: build
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -100,10 +100,6 @@
     ///
     /// Handles of endpoints must have been on a list and indices must be in range; events for
     /// requests that are over are ignored.
-    #[expect(
-        clippy::needless_pass_by_value,
-        reason = "an event is over once it is handled"
-    )]
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         match event {
--- a/crates/net/src/config/mod.rs
+++ b/crates/net/src/config/mod.rs
@@ -52,7 +52,7 @@
     /// Endpoints registered in ZooKeeper, where that is switched on.
     pub zookeeper: Option<ZooKeeperConfig>,
     /// The values of the keys that take a restart to change.
-    pub fixed: StartupValues,
+    pub startup_values: StartupValues,
 }
 
 impl Config {
@@ -81,7 +81,7 @@
             settings,
             gearman: None,
             zookeeper: None,
-            fixed: StartupValues::default(),
+            startup_values: StartupValues::default(),
         })
     }
 }
--- a/crates/net/src/config/platform.rs
+++ b/crates/net/src/config/platform.rs
@@ -96,7 +96,7 @@
             settings,
             gearman: None,
             zookeeper: None,
-            fixed: StartupValues::from_text(text),
+            startup_values: StartupValues::from_text(text),
         })
     }
 }
--- a/crates/net/src/config/reload.rs
+++ b/crates/net/src/config/reload.rs
@@ -65,7 +65,7 @@
             .ok_or_else(|| ConfigError::key("discovery", "missing"))?;
         Ok(Reload {
             discovery,
-            restart_required: running.changed_keys(&config.fixed),
+            restart_required: running.changed_keys(&config.startup_values),
         })
     }
 }
--- a/crates/net/src/config/sockets.rs
+++ b/crates/net/src/config/sockets.rs
@@ -5,8 +5,8 @@
 
 use super::ConfigError;
 
-/// Descriptors for everything else: listeners, discovery, health checks, standard streams.
-const RESERVED: usize = 32;
+/// Descriptors for everything else: listeners, discovery, standard streams.
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Memory that a connection of a client may use, in bytes: a request body and what is read ahead.
 const BYTES_PER_CLIENT: usize = 96 << 10;
 /// The smallest limit that leaves a useful number of connections beside the reserved descriptors.
@@ -32,7 +32,7 @@
     ///
     /// A request that is served has a connection to an endpoint, so both sides get the same number.
     pub(super) fn divide(sockets: usize, memory_mb: u64) -> Sockets {
-        let available = sockets - RESERVED;
+        let available = sockets - RESERVED_DESCRIPTORS;
         let memory_for_clients = (memory_mb << 20) as usize / 2;
         Sockets {
             inbound: (available * 9 / 20).min(memory_for_clients / BYTES_PER_CLIENT),
--- a/crates/net/src/discovery/call_schedule.rs
+++ b/crates/net/src/discovery/call_schedule.rs
@@ -47,7 +47,7 @@
 
 impl CallSchedule {
     /// The schedule for these settings.
-    pub fn of(settings: &DeploymentSettings) -> CallSchedule {
+    pub fn from_settings(settings: &DeploymentSettings) -> CallSchedule {
         match settings.discovery {
             DiscoveryMode::Polled => CallSchedule::new(
                 settings.instance_count,
--- a/crates/net/src/discovery/call_schedule/tests.rs
+++ b/crates/net/src/discovery/call_schedule/tests.rs
@@ -150,7 +150,7 @@
         serde_json::from_str(&text).unwrap()
     };
     for instances in [1, 3, 300, 10_000] {
-        let mut schedule = CallSchedule::of(&settings("automatic", instances));
+        let mut schedule = CallSchedule::from_settings(&settings("automatic", instances));
         assert_eq!(
             (schedule.first(1.0), schedule.first_moved(1.0)),
             (Duration::ZERO, Duration::ZERO)
@@ -162,7 +162,7 @@
         );
         assert_eq!(schedule.next(SERVED_AFTER * 2, false, 1.0), MIN_WAIT);
     }
-    let polled = CallSchedule::of(&settings("subscribe", 300));
+    let polled = CallSchedule::from_settings(&settings("subscribe", 300));
     assert_eq!(
         polled.first(1.0),
         CallSchedule::new(300, Duration::from_secs(10)).first(1.0)
--- a/crates/net/src/discovery/watcher/mod.rs
+++ b/crates/net/src/discovery/watcher/mod.rs
@@ -73,7 +73,7 @@
 
     /// Follows the service until the receiver of the updates is dropped.
     pub async fn run(mut self) {
-        let mut schedule = CallSchedule::of(&self.settings);
+        let mut schedule = CallSchedule::from_settings(&self.settings);
         self.wait_for_first_call(&schedule).await;
         let mut is_malformed = false;
         loop {
--- a/crates/net/src/event_loop/tests/sockets.rs
+++ b/crates/net/src/event_loop/tests/sockets.rs
@@ -307,7 +307,7 @@
             }
             assert_eq!(
                 response.try_recv(),
-                Ok(ClientResponse::Served(Default::default())),
+                Ok(ClientResponse::Served(bytes::Bytes::default())),
                 "{n}"
             );
             assert!(
--- a/crates/net/src/frontend/admission/close.rs
+++ b/crates/net/src/frontend/admission/close.rs
@@ -86,7 +86,7 @@
     let _ = socket.shutdown(Shutdown::Write);
     tokio::select! {
         () = drain(stream, connection) => {}
-        () = sleep_until(connection.due()) => {}
+        () = sleep_until(connection.phase_deadline()) => {}
         () = connection.evicted(Eviction::Immediate) => {}
     }
 }
--- a/crates/net/src/frontend/admission/connection.rs
+++ b/crates/net/src/frontend/admission/connection.rs
@@ -13,7 +13,7 @@
 
 /// Time to receive a whole request, from the opening of the connection or from the first byte of a
 /// later request.
-pub const REQUEST: Duration = Duration::from_secs(2);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for the client to take a whole response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time that a connection may stay open between two requests.
@@ -49,7 +49,7 @@
 impl ConnectionPhase {
     fn timeout(self) -> Duration {
         match self {
-            ConnectionPhase::FirstRequest | ConnectionPhase::ReadingRequest => REQUEST,
+            ConnectionPhase::FirstRequest | ConnectionPhase::ReadingRequest => REQUEST_TIMEOUT,
             ConnectionPhase::Idle => IDLE_TIMEOUT,
             ConnectionPhase::AwaitingResponse => AWAITING_RESPONSE_TIMEOUT,
             ConnectionPhase::WritingResponse => RESPONSE_TIMEOUT,
@@ -133,7 +133,7 @@
     fn state(&self) -> MutexGuard<'_, ConnectionState> {
         self.state
             .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     pub(super) fn enter(&self, phase: ConnectionPhase) {
@@ -141,13 +141,13 @@
     }
 
     /// When the timeout of the current phase ends.
-    pub fn due(&self) -> Instant {
+    pub fn phase_deadline(&self) -> Instant {
         let state = self.state();
         state.since + state.phase.timeout()
     }
 
     /// Records that a whole request was received: the connection now waits for its response.
-    pub fn holds(&self) {
+    pub fn request_received(&self) {
         let mut state = self.state();
         state.enter(ConnectionPhase::AwaitingResponse);
         state.has_carried_request = true;
@@ -219,7 +219,7 @@
     }
 
     /// Waits until the connection is evicted for another.
-    pub async fn wanted(&self) {
+    pub async fn eviction_requested(&self) {
         self.evicted(Eviction::Graceful).await;
     }
 
--- a/crates/net/src/frontend/admission/mod.rs
+++ b/crates/net/src/frontend/admission/mod.rs
@@ -14,10 +14,10 @@
 mod stream;
 
 pub use close::{EndReason, FinalResponse, RETRY_AFTER_SECONDS, close};
-pub use connection::{ClientConnection, REQUEST};
+pub use connection::{ClientConnection, REQUEST_TIMEOUT};
 pub use discard::poll_disconnected;
 pub use framing::FramingError;
-pub use permits::{Admission, ConnectionPermit, Room};
+pub use permits::{Admission, AdmissionDecision, ConnectionPermit};
 pub use stream::InspectedStream;
 
 #[cfg(test)]
--- a/crates/net/src/frontend/admission/permits.rs
+++ b/crates/net/src/frontend/admission/permits.rs
@@ -24,7 +24,7 @@
 struct PermitTable {
     last_id: u64,
     admitted: BTreeMap<PermitId, Arc<ClientConnection>>,
-    /// Connections without a permit that linger for their final response.
+    /// Connections that no longer count, or never did, and linger for their final response.
     lingering: BTreeMap<PermitId, Arc<ClientConnection>>,
 }
 
@@ -58,13 +58,13 @@
 
 /// What a new connection is admitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum AdmissionDecision {
     /// Its requests are served.
     Served,
     /// Each of its requests gets an overload response.
-    Busy,
+    Overloaded,
     /// It gets an overload response before any request, and is closed.
-    None,
+    Rejected,
 }
 
 /// The permit of a connection. Dropped, it is free for another.
@@ -72,9 +72,9 @@
     admission: Arc<Admission>,
     id: PermitId,
     /// The state of the connection.
-    pub seat: Arc<ClientConnection>,
+    pub connection: Arc<ClientConnection>,
     /// What the connection is admitted to.
-    pub room: Room,
+    pub decision: AdmissionDecision,
 }
 
 impl Admission {
@@ -91,7 +91,7 @@
     fn table(&self) -> MutexGuard<'_, PermitTable> {
         self.table
             .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Number of connections that have a permit.
@@ -106,10 +106,10 @@
         if table.admitted.len() >= self.max_served {
             self.evict_one(&mut table, now);
         }
-        let room = self.room(table.admitted.len());
+        let decision = self.decision(table.admitted.len());
         let id = table.next_id();
         let connection = Arc::new(ClientConnection::new(now));
-        if room == Room::None {
+        if decision == AdmissionDecision::Rejected {
             table.linger(id, connection.clone(), self.spare);
         } else {
             table.admitted.insert(id, connection.clone());
@@ -117,8 +117,8 @@
         ConnectionPermit {
             admission: self.clone(),
             id,
-            seat: connection,
-            room,
+            connection,
+            decision,
         }
     }
 
@@ -129,13 +129,13 @@
         }
     }
 
-    fn room(&self, admitted: usize) -> Room {
+    fn decision(&self, admitted: usize) -> AdmissionDecision {
         if admitted < self.max_served {
-            Room::Served
+            AdmissionDecision::Served
         } else if admitted < self.max_served + self.spare {
-            Room::Busy
+            AdmissionDecision::Overloaded
         } else {
-            Room::None
+            AdmissionDecision::Rejected
         }
     }
 }
--- a/crates/net/src/frontend/admission/stream.rs
+++ b/crates/net/src/frontend/admission/stream.rs
@@ -87,7 +87,8 @@
         true
     }
 
-    /// Writes are not buffered, so there is nothing to flush.
+    /// Writes are not buffered, so a flush only tells that the response is written: the connection
+    /// becomes idle.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.flushed();
         Poll::Ready(Ok(()))
--- a/crates/net/src/frontend/admission/tests.rs
+++ b/crates/net/src/frontend/admission/tests.rs
@@ -59,31 +59,34 @@
     let at = |ms| start + Duration::from_millis(ms);
     let silent = admission.admit(at(1));
     let awaiting_response = admission.admit(at(0));
-    awaiting_response.seat.holds();
+    awaiting_response.connection.request_received();
     let idle = admission.admit(at(0));
-    idle.seat.holds();
-    idle.seat.enter(ConnectionPhase::Idle);
+    idle.connection.request_received();
+    idle.connection.enter(ConnectionPhase::Idle);
     // None has been without a request for long enough.
     let overload = admission.admit(at(20));
-    assert_eq!(overload.room, Room::Busy);
-    assert_eq!(admission.admit(at(30)).room, Room::None);
+    assert_eq!(overload.decision, AdmissionDecision::Overloaded);
+    assert_eq!(
+        admission.admit(at(30)).decision,
+        AdmissionDecision::Rejected
+    );
     drop(overload);
     let third = admission.admit(at(60));
-    assert!(third.room == Room::Served && admission.admitted() == 3);
+    assert!(third.decision == AdmissionDecision::Served && admission.admitted() == 3);
     // One that has asked for nothing but readiness is evicted at once.
-    third.seat.enter(ConnectionPhase::Idle);
+    third.connection.enter(ConnectionPhase::Idle);
     let fourth = admission.admit(at(60));
-    assert_eq!(fourth.room, Room::Served);
-    fourth.seat.holds();
+    assert_eq!(fourth.decision, AdmissionDecision::Served);
+    fourth.connection.request_received();
     drop((silent, third));
     // The one between two requests is evicted next, then none can be.
     let last = admission.admit(Instant::now() + Duration::from_secs(5));
-    last.seat.holds();
-    assert_eq!(last.room, Room::Served);
+    last.connection.request_received();
+    assert_eq!(last.decision, AdmissionDecision::Served);
     assert_eq!(
         admission
             .admit(Instant::now() + Duration::from_secs(9))
-            .room,
-        Room::Busy
+            .decision,
+        AdmissionDecision::Overloaded
     );
 }
--- /dev/null
+++ b/crates/net/src/frontend/gearman/clients/job.rs
@@ -0,0 +1,134 @@
+//! A job in progress: forwards its updates and its response to the client.
+
+use super::FRACTION_DENOMINATOR;
+use super::statuses::{JobStatus, JobStatuses};
+use crate::frontend::PendingResponse;
+use crate::frontend::gearman::codec::Packet;
+use crate::frontend::gearman::outbox::Outbox;
+use bytes::Bytes;
+use pumiceway_core::{AttemptUpdate, ClientResponse};
+use std::pin::pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use tokio::sync::mpsc;
+
+/// One of the jobs that may be in progress at once, and its status. Dropped with the job.
+pub struct JobPermit {
+    jobs: Arc<AtomicUsize>,
+    statuses: JobStatuses,
+    handle: String,
+}
+
+impl JobPermit {
+    /// A permit, unless there are `max_jobs` already.
+    pub fn acquire(
+        jobs: &Arc<AtomicUsize>,
+        max_jobs: usize,
+        statuses: &JobStatuses,
+        handle: &str,
+    ) -> Option<JobPermit> {
+        if jobs.fetch_add(1, Ordering::Relaxed) >= max_jobs {
+            jobs.fetch_sub(1, Ordering::Relaxed);
+            return None;
+        }
+        statuses.set(handle, JobStatus::default());
+        Some(JobPermit {
+            jobs: jobs.clone(),
+            statuses: statuses.clone(),
+            handle: handle.to_owned(),
+        })
+    }
+}
+
+impl Drop for JobPermit {
+    fn drop(&mut self) {
+        self.jobs.fetch_sub(1, Ordering::Relaxed);
+        self.statuses.remove(&self.handle);
+    }
+}
+
+/// Sends the packets of one job to its client.
+pub struct JobSender {
+    pub outbox: Outbox,
+    pub handle: String,
+    /// The client has asked for `WORK_EXCEPTION` packets.
+    pub exceptions: bool,
+}
+
+impl JobSender {
+    /// Forwards updates until the response has come.
+    pub async fn forward(
+        self,
+        permit: JobPermit,
+        mut updates: mpsc::UnboundedReceiver<AttemptUpdate>,
+        pending: PendingResponse,
+    ) {
+        let mut response = pin!(pending.response());
+        loop {
+            tokio::select! {
+                // Updates that came before the response are sent before it.
+                biased;
+                Some(update) = updates.recv() => self.send_update(update, &permit.statuses),
+                response = response.as_mut() => return self.send_response(response),
+            }
+        }
+    }
+
+    fn send_update(&self, update: AttemptUpdate, statuses: &JobStatuses) {
+        let handle = self.handle.clone();
+        match update {
+            AttemptUpdate::Started => self.set_running(statuses, 0),
+            AttemptUpdate::Fraction(fraction) => {
+                let numerator = (fraction.clamp(0.0, 1.0) * FRACTION_DENOMINATOR as f64) as u64;
+                self.set_running(statuses, numerator);
+                self.outbox.send(Packet::WorkStatus {
+                    handle,
+                    numerator,
+                    denominator: FRACTION_DENOMINATOR,
+                });
+            }
+            AttemptUpdate::Data(data) => self.outbox.send(Packet::WorkData { handle, data }),
+            AttemptUpdate::Warning(data) => self.outbox.send(Packet::WorkWarning { handle, data }),
+        }
+    }
+
+    fn set_running(&self, statuses: &JobStatuses, numerator: u64) {
+        let is_running = true;
+        let status = JobStatus {
+            is_running,
+            numerator,
+        };
+        statuses.set(&self.handle, status);
+    }
+
+    /// Sends the response. Gearman has no packet for an overload response or the reason of a
+    /// failure: a warning or an exception with a line of text goes before `WORK_FAIL`.
+    pub fn send_response(&self, response: ClientResponse) {
+        match response {
+            ClientResponse::Served(data) => {
+                let handle = self.handle.clone();
+                self.outbox.send(Packet::WorkComplete { handle, data });
+            }
+            ClientResponse::Overloaded { retry_after } => {
+                let retry_after_ms = retry_after.unwrap_or_default().as_millis();
+                self.send_failure(format!("busy; retry-after-ms={retry_after_ms}"));
+            }
+            ClientResponse::Failed(failure) => self.send_failure(format!("failed; {failure}")),
+            ClientResponse::Rejected(rejection) => {
+                self.send_failure(format!("failed; {rejection}"));
+            }
+        }
+    }
+
+    fn send_failure(&self, reason: String) {
+        let handle = self.handle.clone();
+        let data = Bytes::from(reason);
+        self.outbox.send(if self.exceptions {
+            Packet::WorkException { handle, data }
+        } else {
+            Packet::WorkWarning { handle, data }
+        });
+        let handle = self.handle.clone();
+        self.outbox.send(Packet::WorkFail { handle });
+    }
+}
--- a/crates/net/src/frontend/http/connection.rs
+++ b/crates/net/src/frontend/http/connection.rs
@@ -30,7 +30,7 @@
     permit: ConnectionPermit,
     closing: Closing,
 ) {
-    let connection = &permit.seat;
+    let connection = &permit.connection;
     let _ = stream.set_nodelay(true);
     let stream = Arc::new(stream);
     let reason = match router {
@@ -60,8 +60,8 @@
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(inspected), service)
     );
-    let mut timeout = pin!(sleep_until(connection.due()));
-    let mut evicted = pin!(connection.wanted());
+    let mut timeout = pin!(sleep_until(connection.phase_deadline()));
+    let mut evicted = pin!(connection.eviction_requested());
     let mut closing = pin!(closed(&mut closing));
     let mut is_closing = false;
     poll_fn(|cx| {
@@ -114,7 +114,7 @@
     connection: &ClientConnection,
     cx: &mut Context<'_>,
 ) -> Poll<()> {
-    let due = connection.due();
+    let due = connection.phase_deadline();
     if timeout.deadline() != due {
         timeout.as_mut().reset(due);
     }
--- a/crates/net/src/frontend/http/routes.rs
+++ b/crates/net/src/frontend/http/routes.rs
@@ -58,7 +58,7 @@
 ) -> Result<Response, RequestError> {
     let body_bytes = request.body().size_hint().exact();
     let request = read_request(&frontend.settings, &connection, request).await?;
-    connection.holds();
+    connection.request_received();
     let response = frontend.events.submit(request, None).response().await;
     let mut response = into_http(response);
     // What the client has sent in the meantime is discarded, and may have begun another request.
--- a/crates/net/src/frontend/http/server.rs
+++ b/crates/net/src/frontend/http/server.rs
@@ -6,7 +6,7 @@
 use super::connection::serve_connection;
 use super::{Closing, HttpFrontend, closed, routes};
 use crate::config::Sockets;
-use crate::frontend::admission::{Admission, Room};
+use crate::frontend::admission::{Admission, AdmissionDecision};
 use axum::Router;
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 
 /// Pause after a failed accept, which for want of descriptors would fail again at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Connections that wait in the backlog of the listener, at most.
-const MAX_BACKLOG: usize = 1_024;
+/// Connections that the system has accepted and that are taken over at the shutdown, at most.
+const MAX_ACCEPTED_ON_CLOSE: usize = 1_024;
 
 /// Accepts connections and serves them.
 pub(super) struct Server {
@@ -73,7 +73,7 @@
 
     fn spawn_connection(&self, stream: TcpStream) {
         let permit = self.admission.admit(Instant::now());
-        let router = self.router_for(permit.room);
+        let router = self.router_for(permit.decision);
         let closing = self.closing.clone();
         let open_connection = self.open_connections.clone();
         tokio::spawn(async move {
@@ -83,10 +83,10 @@
     }
 
     /// What serves the requests of a connection; `None` if it is to be closed before any.
-    fn router_for(&self, room: Room) -> Option<Router> {
+    fn router_for(&self, room: AdmissionDecision) -> Option<Router> {
         match room {
-            Room::Served => Some(self.router.clone()),
-            Room::Busy => {
+            AdmissionDecision::Served => Some(self.router.clone()),
+            AdmissionDecision::Overloaded => {
                 warn!(
                     frontend = "http",
                     limit = self.sockets.inbound,
@@ -94,7 +94,7 @@
                 );
                 Some(routes::overload_router())
             }
-            Room::None => {
+            AdmissionDecision::Rejected => {
                 warn!(
                     frontend = "http",
                     limit = self.sockets.inbound + self.sockets.spare,
@@ -112,7 +112,7 @@
         return Vec::new();
     };
     std::iter::from_fn(|| listener.accept().ok())
-        .take(MAX_BACKLOG)
+        .take(MAX_ACCEPTED_ON_CLOSE)
         .filter_map(|(stream, _)| into_tokio(stream))
         .collect()
 }
--- a/crates/net/src/upstream/connection_abort.rs
+++ b/crates/net/src/upstream/connection_abort.rs
@@ -13,7 +13,7 @@
 pub(super) const NO_REQUEST: u64 = 0;
 
 /// The most bytes before the head of a response has been handed out: interim responses (1xx) and
-/// the head. hyper buffers 408 KiB at most, and may have read on so far.
+/// the head. hyper may read up to 408 KiB ahead, so the limit leaves room for that.
 const MAX_BYTES_BEFORE_RESPONSE: usize = 1 << 20;
 
 /// Closes a connection; shared by the connection and the attempts on it.
--- a/crates/net/src/upstream/pool_settings.rs
+++ b/crates/net/src/upstream/pool_settings.rs
@@ -4,14 +4,15 @@
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::time::Duration;
 
-/// A health check that takes longer has failed.
+/// The time for a health check, at least; more where connecting may take long.
 pub(super) const MIN_HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// A health check has at least this time left once its connection is up.
 const HEALTH_CHECK_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle connections are closed after this time where the deployment names none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// One endpoint may have this part of all sockets as idle connections, or this many.
-const IDLE_PART: usize = 64;
+/// One endpoint may have one in this many of all sockets as idle connections ...
+const IDLE_DIVISOR: usize = 64;
+/// ... and at least this many.
 const MIN_IDLE_CONNECTIONS: usize = 2;
 
 /// How connections to endpoints are opened, pooled and checked.
@@ -38,7 +39,7 @@
             // fail for that alone.
             health_check_timeout: MIN_HEALTH_CHECK_TIMEOUT
                 .max(connect_timeout + HEALTH_CHECK_RESPONSE_TIMEOUT),
-            max_idle_connections: (sockets.outbound / IDLE_PART).max(MIN_IDLE_CONNECTIONS),
+            max_idle_connections: (sockets.outbound / IDLE_DIVISOR).max(MIN_IDLE_CONNECTIONS),
         }
     }
 }
--- a/crates/net/src/upstream/tests/health_checks.rs
+++ b/crates/net/src/upstream/tests/health_checks.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use crate::upstream::PoolSettings;
-use crate::upstream::pool_settings::HEALTH_CHECK_TIMEOUT;
+use crate::upstream::pool_settings::MIN_HEALTH_CHECK_TIMEOUT;
 use pumiceway_decisions::api::Outcome;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -43,7 +43,7 @@
 #[test]
 fn endless_health_check_ends_in_time_and_closes_its_connection() {
     let silent = [
-        "".to_owned(),
+        String::new(),
         CHUNKED_HEAD.into(),
         format!("{CHUNKED_HEAD}{}", chunk("{\"x0\":2}")),
     ];
@@ -83,7 +83,7 @@
                 let limit = if floods || given_up {
                     TEST_TIMEOUT
                 } else {
-                    HEALTH_CHECK_TIMEOUT
+                    MIN_HEALTH_CHECK_TIMEOUT
                 };
                 let pool = PoolSettings {
                     health_check_timeout: limit,
--- a/crates/net/src/upstream/tests/responses.rs
+++ b/crates/net/src/upstream/tests/responses.rs
@@ -19,7 +19,7 @@
         for n in 0..300 {
             text += &chunk(&format!(
                 "{{\"id\":\"a\",\"from\":\"w\",\"state\":\"running\",\"share\":{}}}\n",
-                n as f64 / 300.0
+                f64::from(n) / 300.0
             ));
         }
         let result = "\\u0001".repeat(64 << 10);
--- a/crates/net/tests/frontends_under_load.rs
+++ b/crates/net/tests/frontends_under_load.rs
@@ -56,7 +56,7 @@
                     (name, _) if name == "WORK_COMPLETE" => break (false, true),
                     (name, _) if name == "WORK_FAIL" => break (overloaded, false),
                     (_, parts) => {
-                        overloaded |= parts.last().is_some_and(|part| part.starts_with("busy"))
+                        overloaded |= parts.last().is_some_and(|part| part.starts_with("busy"));
                     }
                 }
             }
--- a/crates/net/tests/gearman_frontend.rs
+++ b/crates/net/tests/gearman_frontend.rs
@@ -6,12 +6,12 @@
 fn a_gearman_job_runs_on_an_http_endpoint_and_an_http_job_on_a_gearman_worker() {
     Stage::play(
         &["w1"],
-        r#"g1 send [SUBMIT_JOB booking-import|u 1|payload]
+        r"g1 send [SUBMIT_JOB booking-import|u 1|payload]
            g1 expect [JOB_CREATED $h]
            w1 wait a
            a expect POST /booking-import/u%201 payload
            a send done imported
-           g1 expect [WORK_COMPLETE $h|imported]"#,
+           g1 expect [WORK_COMPLETE $h|imported]",
     );
     Stage::play(
         &[],
--- a/crates/net/tests/http_connections/final_responses.rs
+++ b/crates/net/tests/http_connections/final_responses.rs
@@ -5,7 +5,7 @@
     wait_for_bytes, wait_until_all_is_read,
 };
 use crate::test_frontend::TestFrontend;
-use pumiceway_net::frontend::admission::REQUEST;
+use pumiceway_net::frontend::admission::REQUEST_TIMEOUT;
 use std::io::Write;
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
     // enough to be evicted for them.
     let mut streams = Vec::new();
     let mut frontend = TestFrontend::start_after(1, 4, |address, _| {
-        streams.extend((0..8).map(|_| connect(address)))
+        streams.extend((0..8).map(|_| connect(address)));
     });
     for stream in &streams[5..] {
         wait_for_bytes(stream);
@@ -39,7 +39,7 @@
         let slow = frontend.connect();
         (&slow).write_all(part.as_bytes()).unwrap();
         wait_until_all_is_read(&slow);
-        frontend.advance_clock(REQUEST);
+        frontend.advance_clock(REQUEST_TIMEOUT);
         wait_for_bytes(&slow);
         send_filler_and_end(&slow);
         let text = read_to_end(&slow);
--- a/crates/net/tests/http_connections/response_bytes.rs
+++ b/crates/net/tests/http_connections/response_bytes.rs
@@ -5,7 +5,7 @@
 };
 use crate::test_frontend::{SubmittedRequest, TestFrontend};
 use pumiceway_core::{ClientResponse, Failure, Rejection};
-use pumiceway_net::frontend::admission::REQUEST;
+use pumiceway_net::frontend::admission::REQUEST_TIMEOUT;
 use pumiceway_test_support::SETTINGS;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -247,12 +247,12 @@
             BODY_TIMEOUT,
             body.as_str(),
         ),
-        ("P".to_owned(), REQUEST, head),
+        ("P".to_owned(), REQUEST_TIMEOUT, head),
     ] {
         let mut stream = frontend.connect();
         stream.write_all(partial_request.as_bytes()).unwrap();
         wait_until_all_is_read(&stream);
-        frontend.advance_clock(timeout - MILLISECOND);
+        frontend.advance_clock(timeout.checked_sub(MILLISECOND).unwrap());
         frontend.advance_clock(Duration::ZERO);
         stream.set_nonblocking(true).unwrap();
         let nothing = stream.peek(&mut [0]).unwrap_err();
--- a/crates/net/tests/http_connections/test_frontend.rs
+++ b/crates/net/tests/http_connections/test_frontend.rs
@@ -196,7 +196,7 @@
                 tokio::time::advance(by).await;
                 let _ = done.send(());
             }
-            std::future::pending().await
+            std::future::pending::<()>().await;
         };
         tokio::select! {
             () = frontend.serve(listener, sockets, closing) => drop(ended),
--- a/crates/net/tests/repeats.rs
+++ b/crates/net/tests/repeats.rs
@@ -203,7 +203,7 @@
         let (mut is_attempt, mut address) = (false, String::new());
         event.record(
             &mut |field: &tracing::field::Field, value: &dyn std::fmt::Debug| match field.name() {
-                "message" => is_attempt = format!("{value:?}") == "attempt sent",
+                "message" => is_attempt = format!("{value:?}") == "attempt starts",
                 "endpoint" => address = format!("{value:?}"),
                 _ => {}
             },
--- a/crates/net/tests/watches/calls.rs
+++ b/crates/net/tests/watches/calls.rs
@@ -160,7 +160,7 @@
     let begun = Instant::now();
     next_call(&discovery, SOON).unwrap();
     assert!(
-        begun.elapsed() < Duration::from_millis(4_000),
+        begun.elapsed() < Duration::from_secs(4),
         "{:?}",
         begun.elapsed()
     );
--- a/crates/net/tests/watches/drains.rs
+++ b/crates/net/tests/watches/drains.rs
@@ -72,6 +72,7 @@
 
 /// `resets` watches are reset in a row, then the next one sends the drain, in a snapshot or in a
 /// delta.
+#[allow(clippy::too_many_lines)] // one scenario, step by step
 fn drain_after_resets(discovery: &str, reset_point: ResetPoint, resets: usize, snapshot: bool) {
     let case = format!("{discovery}, {reset_point:?}, {resets} resets, snapshot {snapshot}");
     let is_pushed = discovery == "automatic";
--- a/crates/net/tests/zookeeper.rs
+++ b/crates/net/tests/zookeeper.rs
@@ -180,13 +180,14 @@
                     ]
                     .concat()
                 }
-                GET_DATA => match state.nodes.get(path().rsplit('/').next().unwrap()) {
-                    Some(data) => [text(data), stat(0)].concat(),
-                    None => {
+                GET_DATA => {
+                    if let Some(data) = state.nodes.get(path().rsplit('/').next().unwrap()) {
+                        [text(data), stat(0)].concat()
+                    } else {
                         error = NO_NODE;
                         vec![]
                     }
-                },
+                }
                 _ => {
                     error = UNIMPLEMENTED;
                     vec![]
