--- /dev/null
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -0,0 +1,190 @@
+//! A dispatcher: its listeners, its frontends and its sources of endpoints, around one event loop.
+
+use super::{Clock, EventLoop, Inputs, SOURCE_CHANNEL_CAPACITY};
+use crate::config::{Config, GearmanConfig, Reload, ZooKeeperConfig};
+use crate::discovery::SourceUpdate;
+use crate::discovery::zookeeper::ZooKeeperSource;
+use crate::frontend::EventSender;
+use crate::frontend::gearman::GearmanFrontend;
+use crate::frontend::gearman::workers::{SessionKinds, WorkerSessions};
+use crate::frontend::http::HttpFrontend;
+use pumiceway_core::{Core, EndpointSource, Event, Retention};
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinSet;
+use tracing::info;
+
+/// A dispatcher whose listeners are bound.
+pub struct Dispatcher {
+    config: Config,
+    gearman: Option<GearmanListener>,
+    listener: TcpListener,
+}
+
+/// The Gearman frontend's configuration and its listener.
+struct GearmanListener {
+    config: GearmanConfig,
+    listener: TcpListener,
+}
+
+impl Dispatcher {
+    /// Binds the listeners that the configuration names.
+    ///
+    /// # Errors
+    ///
+    /// An address that cannot be bound.
+    pub async fn bind(mut config: Config) -> io::Result<Dispatcher> {
+        let listener = TcpListener::bind(config.listen).await?;
+        let gearman = match config.gearman.take() {
+            Some(config) => {
+                let listener = TcpListener::bind(config.listen).await?;
+                Some(GearmanListener { config, listener })
+            }
+            None => None,
+        };
+        Ok(Dispatcher {
+            config,
+            gearman,
+            listener,
+        })
+    }
+
+    /// The addresses of the HTTP frontend and of the Gearman frontend.
+    ///
+    /// # Errors
+    ///
+    /// The system does not tell them.
+    pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
+        let gearman = self
+            .gearman
+            .as_ref()
+            .map(|gearman| gearman.listener.local_addr());
+        Ok((self.listener.local_addr()?, gearman.transpose()?))
+    }
+
+    /// Serves until `shutdown` is ready and all requests have their responses. Configurations that
+    /// are read meanwhile come through `reloads`.
+    ///
+    /// # Errors
+    ///
+    /// Settings that cannot work, or an address that the system does not tell.
+    pub async fn run(
+        self,
+        shutdown: impl Future<Output = ()>,
+        reloads: mpsc::UnboundedReceiver<Reload>,
+    ) -> io::Result<()> {
+        let (address, gearman_address) = self.addresses()?;
+        let Dispatcher {
+            mut config,
+            gearman,
+            listener,
+        } = self;
+        let clock = Clock::start();
+        let (events, messages) = EventSender::new();
+        let (close_frontends, closing) = watch::channel(false);
+        let mut frontends = JoinSet::new();
+        let mut retention = Retention::default();
+        let mut workers = None;
+        if let Some(GearmanListener {
+            config: gearman,
+            listener,
+        }) = gearman
+        {
+            retention = gearman.retention;
+            let sessions = prepare_gearman(&mut config, &gearman, &events)?;
+            workers = Some(sessions.clone());
+            let deployment = config.deployment.clone();
+            let frontend = GearmanFrontend::new(events.clone(), deployment, gearman, sessions);
+            frontends.spawn(frontend.serve(listener, closing.clone(), move || clock.now()));
+        }
+        let core = Core::new(config.settings, config.seed, retention).map_err(io::Error::other)?;
+        let deployment = config.deployment;
+        let mut event_loop = EventLoop::new(
+            clock,
+            core,
+            events.clone(),
+            deployment.clone(),
+            &config.sockets,
+        );
+        event_loop.workers = workers;
+        event_loop.close_frontends = close_frontends;
+        let version = config.bootstrap_list.as_ref().map(|list| list.index);
+        let bootstrap_list = config
+            .bootstrap_list
+            .unwrap_or_default()
+            .endpoints(&deployment);
+        let endpoints = bootstrap_list.len();
+        event_loop.load_bootstrap_list(bootstrap_list, version, config.discovery);
+        let (zookeeper_updates, zookeeper) = mpsc::channel(SOURCE_CHANNEL_CAPACITY);
+        if let Some(config) = config.zookeeper {
+            event_loop.watch_zookeeper(config, zookeeper_updates.clone());
+        }
+        let ready = event_loop.ready.clone();
+        let frontend = HttpFrontend {
+            events: events.clone(),
+            settings: deployment,
+            ready,
+        };
+        frontends.spawn(frontend.serve(listener, config.sockets, closing));
+        spawn_close_notification(frontends, events);
+        let gearman_address = gearman_address.map(tracing::field::display);
+        info!(name = config.name, %address, gearman = gearman_address, "dispatcher is listening");
+        info!(
+            version,
+            endpoints, "dispatcher starts with its bootstrap list"
+        );
+        event_loop
+            .run(
+                shutdown,
+                Inputs {
+                    messages,
+                    zookeeper,
+                    reloads,
+                },
+            )
+            .await;
+        Ok(())
+    }
+}
+
+impl EventLoop {
+    /// Lists the endpoints that have a node in ZooKeeper. The list is used only while the ensemble
+    /// confirms it.
+    fn watch_zookeeper(&mut self, config: ZooKeeperConfig, updates: mpsc::Sender<SourceUpdate>) {
+        let source = EndpointSource::ZooKeeper;
+        self.feed(Event::LeaseRequired { source });
+        let source = ZooKeeperSource {
+            config,
+            settings: self.settings.clone(),
+            updates,
+        };
+        tokio::spawn(source.run());
+    }
+}
+
+/// Sends an event once no frontend serves any more.
+fn spawn_close_notification(mut frontends: JoinSet<()>, events: EventSender) {
+    tokio::spawn(async move {
+        while frontends.join_next().await.is_some() {}
+        events.send(Event::FrontendsClosed);
+    });
+}
+
+/// Gives the Gearman frontend its sockets and its kinds of endpoint, lets requests of all frontends
+/// queue for its workers, and makes the table of its worker sessions.
+fn prepare_gearman(
+    config: &mut Config,
+    gearman: &GearmanConfig,
+    events: &EventSender,
+) -> io::Result<WorkerSessions> {
+    config.sockets.inbound -= gearman.connections.min(config.sockets.inbound / 2);
+    let kinds = SessionKinds::add(&mut config.settings)
+        .ok_or_else(|| io::Error::other("gearman: too many classes to tell workers apart by"))?;
+    for class in &mut config.settings.classes {
+        class.max_queue_time = class.max_queue_time.or(Some(class.deadline));
+    }
+    config.settings.max_queued = gearman.queue;
+    Ok(WorkerSessions::new(events.clone(), kinds, gearman.warm))
+}
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -1,42 +1,38 @@
 //! The event loop: carries out the effects of the core, and returns their results to it as events.
 //!
-//! The core is a state machine without I/O; this is the thin asynchronous part around it. One task owns
-//! the core and all that is in flight, so nothing here is locked. Frontends, attempts and health checks
-//! run as tasks of their own and send [`LoopMessage`]s. Endpoint lists come through channels of their
-//! own, which hold one update, so that a source that sends without end has to wait. Messages that have
-//! come go before the timer.
+//! The core is a state machine without I/O; this is the thin asynchronous part around it. One task
+//! owns the core and all that is in flight, so nothing here is locked. Frontends, attempts and
+//! health checks run as tasks of their own and send [`LoopMessage`]s. Endpoint lists come through
+//! channels of their own, which hold one update, so that a source that sends without end has to
+//! wait. Messages that have come go before the timer.
 
 mod clock;
+mod dispatcher;
 mod effects;
 mod upstreams;
 mod watch;
 
 pub use clock::Clock;
+pub use dispatcher::Dispatcher;
 
-use crate::config::{Config, GearmanConfig, Reload, Sockets};
+use crate::config::{Reload, Sockets};
 use crate::discovery::SourceUpdate;
-use crate::discovery::zookeeper::ZooKeeperSource;
-use crate::frontend::gearman::GearmanFrontend;
-use crate::frontend::gearman::workers::{SessionKinds, WorkerSessions};
-use crate::frontend::http::HttpFrontend;
+use crate::frontend::gearman::workers::WorkerSessions;
 use crate::frontend::{EventSender, LoopMessage};
 use crate::upstream::AttemptConnection;
 use pumiceway_core::{
-    AttemptId, AttemptUpdate, ClientRequest, ClientResponse, Core, EndpointListUpdate,
-    EndpointSource, Event, Job, RequestHandle, Retention,
+    AttemptId, AttemptUpdate, ClientRequest, ClientResponse, Core, Endpoint, EndpointListUpdate,
+    EndpointSource, Event, Job, RequestHandle,
 };
 use pumiceway_decisions::api::{ClassId, EndpointId, Timestamp};
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::collections::HashMap;
-use std::io;
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
-use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch as watch_channel};
-use tokio::task::{AbortHandle, JoinSet};
+use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until};
-use tracing::{debug, info};
+use tracing::debug;
 use upstreams::Upstreams;
 use watch::WatchTask;
 
@@ -46,157 +42,6 @@
 /// otherwise a service that sends without end would fill the memory.
 const SOURCE_CHANNEL_CAPACITY: usize = 1;
 
-/// A dispatcher whose listeners are bound.
-pub struct Dispatcher {
-    config: Config,
-    gearman: Option<(GearmanConfig, TcpListener)>,
-    listener: TcpListener,
-}
-
-impl Dispatcher {
-    /// Binds the listeners that the configuration names.
-    ///
-    /// # Errors
-    ///
-    /// An address that cannot be bound.
-    pub async fn bind(mut config: Config) -> io::Result<Dispatcher> {
-        let listener = TcpListener::bind(config.listen).await?;
-        let gearman = match config.gearman.take() {
-            Some(gearman) => {
-                let listener = TcpListener::bind(gearman.listen).await?;
-                Some((gearman, listener))
-            }
-            None => None,
-        };
-        Ok(Dispatcher {
-            config,
-            gearman,
-            listener,
-        })
-    }
-
-    /// The addresses of the HTTP frontend and of the Gearman frontend.
-    ///
-    /// # Errors
-    ///
-    /// The system does not tell them.
-    pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
-        let gearman = self
-            .gearman
-            .as_ref()
-            .map(|(_, listener)| listener.local_addr())
-            .transpose()?;
-        Ok((self.listener.local_addr()?, gearman))
-    }
-
-    /// Serves until `shutdown` is ready and all requests have their responses. Configurations that
-    /// are read meanwhile come through `reloads`.
-    ///
-    /// # Errors
-    ///
-    /// Settings that cannot work, or an address that the system does not tell.
-    pub async fn run(
-        self,
-        shutdown: impl Future<Output = ()>,
-        reloads: mpsc::UnboundedReceiver<Reload>,
-    ) -> io::Result<()> {
-        let (address, gearman_address) = self.addresses()?;
-        let Dispatcher {
-            mut config,
-            gearman,
-            listener,
-        } = self;
-        let clock = Clock::start();
-        let (events, messages) = EventSender::new();
-        let (close_frontends, closing) = watch_channel::channel(false);
-        let mut retention = Retention::default();
-        let mut frontends = JoinSet::new();
-        let mut workers = None;
-        if let Some((gearman, listener)) = gearman {
-            retention = gearman.retention;
-            let sessions = prepare_gearman(&mut config, &gearman, &events)?;
-            workers = Some(sessions.clone());
-            let frontend =
-                GearmanFrontend::new(events.clone(), config.deployment.clone(), gearman, sessions);
-            frontends.spawn(frontend.serve(listener, closing.clone(), move || clock.now()));
-        }
-        let core = Core::new(config.settings, config.seed, retention).map_err(io::Error::other)?;
-        let deployment = config.deployment;
-        let mut event_loop = EventLoop::new(
-            clock,
-            core,
-            events.clone(),
-            deployment.clone(),
-            &config.sockets,
-        );
-        event_loop.workers = workers;
-        event_loop.close_frontends = close_frontends;
-        let list_version = config.bootstrap_list.as_ref().map(|list| list.index);
-        let bootstrap_list = config
-            .bootstrap_list
-            .unwrap_or_default()
-            .endpoints(&deployment);
-        let endpoints = bootstrap_list.len();
-        event_loop.load_bootstrap_list(bootstrap_list, list_version, config.discovery);
-        let (zookeeper_updates, zookeeper) = mpsc::channel(SOURCE_CHANNEL_CAPACITY);
-        if let Some(config) = config.zookeeper {
-            event_loop.feed(Event::LeaseRequired {
-                source: EndpointSource::ZooKeeper,
-            });
-            let source = ZooKeeperSource {
-                config,
-                settings: deployment.clone(),
-                updates: zookeeper_updates,
-            };
-            tokio::spawn(source.run());
-        }
-        let frontend = HttpFrontend {
-            events: events.clone(),
-            settings: deployment,
-            ready: event_loop.ready.clone(),
-        };
-        frontends.spawn(frontend.serve(listener, config.sockets, closing));
-        tokio::spawn(async move {
-            while frontends.join_next().await.is_some() {}
-            events.send(Event::FrontendsClosed);
-        });
-        let gearman_address = gearman_address.map(tracing::field::display);
-        info!(name = config.name, %address, gearman = gearman_address, "dispatcher is listening");
-        info!(
-            version = list_version,
-            endpoints, "dispatcher starts with its bootstrap list"
-        );
-        event_loop
-            .run(
-                shutdown,
-                Inputs {
-                    messages,
-                    zookeeper,
-                    reloads,
-                },
-            )
-            .await;
-        Ok(())
-    }
-}
-
-/// Takes the Gearman frontend into account in the settings, and makes the table of its worker
-/// sessions.
-fn prepare_gearman(
-    config: &mut Config,
-    gearman: &GearmanConfig,
-    events: &EventSender,
-) -> io::Result<WorkerSessions> {
-    config.sockets.inbound -= gearman.connections.min(config.sockets.inbound / 2);
-    let kinds = SessionKinds::add(&mut config.settings)
-        .ok_or_else(|| io::Error::other("gearman: too many classes to tell workers apart by"))?;
-    for class in &mut config.settings.classes {
-        class.max_queue_time = class.max_queue_time.or(Some(class.deadline));
-    }
-    config.settings.max_queued = gearman.queue;
-    Ok(WorkerSessions::new(events.clone(), kinds, gearman.warm))
-}
-
 /// What the event loop waits for.
 struct Inputs {
     messages: mpsc::UnboundedReceiver<LoopMessage>,
@@ -275,7 +120,7 @@
 
     fn load_bootstrap_list(
         &mut self,
-        bootstrap_list: Vec<pumiceway_core::Endpoint>,
+        bootstrap_list: Vec<Endpoint>,
         list_version: Option<u64>,
         discovery: Option<String>,
     ) {
@@ -287,7 +132,8 @@
             update,
         });
         if discovery.is_none() {
-            // There is no service that could confirm the list, so an empty change confirms it for good.
+            // There is no service that could confirm the list, so an empty change confirms it for
+            // good.
             let update = EndpointListUpdate::Delta(vec![]);
             self.feed(Event::EndpointListUpdated {
                 source,
--- a/crates/net/src/event_loop/tests.rs
+++ b/crates/net/src/event_loop/tests.rs
@@ -3,8 +3,9 @@
 mod sockets;
 
 use super::*;
+use crate::config::Config;
 use bytes::Bytes;
-use pumiceway_core::{AttemptOutcome, ClassOverview, ClientRequest};
+use pumiceway_core::{AttemptOutcome, ClassOverview, ClientRequest, Retention};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
--- a/crates/net/src/event_loop/tests/sockets.rs
+++ b/crates/net/src/event_loop/tests/sockets.rs
@@ -3,7 +3,7 @@
 use super::super::*;
 use super::{job, submission};
 use crate::upstream::AttemptOptions;
-use pumiceway_core::{AttemptOutcome, Endpoint, EndpointAddress};
+use pumiceway_core::{AttemptOutcome, Endpoint, EndpointAddress, Retention};
 use pumiceway_decisions::api::{EndpointState, KindId, ZoneId};
 use std::io::{Read, Write};
 use std::net::{TcpListener as Listener, TcpStream};
--- a/crates/net/src/event_loop/upstreams.rs
+++ b/crates/net/src/event_loop/upstreams.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Where no socket is left, one in this many of the endpoints without an attempt in flight lose their
-/// idle connections at a time.
+/// Where no socket is left, one in this many of the endpoints without an attempt in flight lose
+/// their idle connections at a time.
 const EVICTED_DIVISOR: usize = 4;
 
 /// The clients of all endpoints.
@@ -84,8 +84,8 @@
     }
 
     /// Sees to it that a socket is free, or is about to be: of the endpoints without an attempt in
-    /// flight, those that were not used for longest lose their idle connections. Returns false only if
-    /// there is no such endpoint.
+    /// flight, those that were not used for longest lose their idle connections. Returns false only
+    /// if there is no such endpoint.
     pub(super) fn ensure_free_socket(&mut self, busy: &HashSet<EndpointId>) -> bool {
         if self.sockets.available_permits() > 0 {
             return true;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher on sockets: frontends for clients, upstream connections to endpoints, discovery, and
-//! the event loop that runs the core between them.
+//! The dispatcher on sockets: frontends for clients, upstream connections to endpoints, discovery,
+//! and the event loop that runs the core between them.
 
 pub mod config;
 pub mod discovery;
--- a/crates/net/src/upstream/attempt.rs
+++ b/crates/net/src/upstream/attempt.rs
@@ -1,7 +1,8 @@
 //! The connection of an attempt, and how far the attempt has come.
 //!
-//! An attempt has one outcome at most. Its abort and its end may cross, and the first of the two decides:
-//! an abort that comes after the end leaves the connection open, as it may carry another request.
+//! An attempt has one outcome at most. Its abort and its end may cross, and the first of the two
+//! decides: an abort that comes after the end leaves the connection open, as it may carry another
+//! request.
 
 use super::client::AttemptObserver;
 use super::connection_abort::{ConnectionAbortHandle, NO_REQUEST};
--- a/crates/net/src/upstream/mod.rs
+++ b/crates/net/src/upstream/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! What an attempt proves decides whether its job may be sent again: it never ran if not a byte of
 //! its request was written, and it may have run in all other cases until a response says how it
-//! ended. An attempt has one outcome at most, and its connection is reused only after a whole response.
+//! ended. An attempt has one outcome at most, and its connection is reused only after a whole
+//! response.
 
 mod attempt;
 mod client;
--- a/crates/pumiceway/src/arguments.rs
+++ b/crates/pumiceway/src/arguments.rs
@@ -35,7 +35,8 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Serve {
-    /// the site file of an appliance; without one, `ROUTER_CONFIG` names the platform's configuration
+    /// the site file of an appliance; without one, `ROUTER_CONFIG` names the platform's
+    /// configuration
     #[cfg(feature = "appliance")]
     #[argh(option)]
     site: Option<PathBuf>,
@@ -97,7 +98,8 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-config")]
 pub struct CheckConfig {
-    /// the site file of an appliance; without one, `ROUTER_CONFIG` names the platform's configuration
+    /// the site file of an appliance; without one, `ROUTER_CONFIG` names the platform's
+    /// configuration
     #[cfg(feature = "appliance")]
     #[argh(option)]
     site: Option<PathBuf>,
