--- a/crates/pumiceway/src/config_files.rs
+++ b/crates/pumiceway/src/config_files.rs
@@ -38,6 +38,7 @@
     }
 
     /// What a hang-up signal does with this configuration.
+    #[cfg_attr(not(feature = "appliance"), allow(clippy::unused_self))]
     pub fn reload_policy(&self) -> ReloadPolicy {
         #[cfg(feature = "appliance")]
         if self.site.is_some() {
