--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    fn tell(&mut self, now: Timestamp, event: Event) {
+    fn notify(&mut self, now: Timestamp, event: Event) {
         self.balancer.handle(now, event, &mut self.actions);
     }
 
@@ -129,7 +129,7 @@
             wire::ListKind::Bootstrap => ListKind::Bootstrap,
             wire::ListKind::SourceLost => ListKind::SourceLost,
         };
-        self.tell(
+        self.notify(
             now,
             Event::EndpointList {
                 kind,
@@ -161,7 +161,7 @@
             tenant,
             affinity_key: request.affinity_key,
         };
-        self.tell(now, Event::RequestArrived(incoming));
+        self.notify(now, Event::RequestArrived(incoming));
         Ok(())
     }
 
@@ -184,7 +184,7 @@
                 endpoint,
                 progress,
             };
-            self.tell(now, Event::AttemptProgressed(progress));
+            self.notify(now, Event::AttemptProgressed(progress));
         }
         Ok(())
     }
@@ -212,20 +212,20 @@
             request_done: result.request_done,
             report,
         };
-        self.tell(now, Event::AttemptEnded(result));
+        self.notify(now, Event::AttemptEnded(result));
         Ok(())
     }
 
     fn on_client_disconnected(&mut self, now: Timestamp, name: &str) {
         if let Some(request) = self.names.request_id(name) {
             self.names.request_done(request);
-            self.tell(now, Event::ClientDisconnected { request });
+            self.notify(now, Event::ClientDisconnected { request });
         }
     }
 
     fn on_timer(&mut self, now: Timestamp, timer: u64) {
         if timer == self.timer {
-            self.tell(now, Event::TimerFired);
+            self.notify(now, Event::TimerFired);
         }
     }
 
@@ -240,7 +240,7 @@
             latency: Duration::from_micros(result.latency_us),
             report: self.names.load_report(result.report.as_deref()),
         };
-        self.tell(now, Event::HealthChecked(result));
+        self.notify(now, Event::HealthChecked(result));
         Ok(())
     }
 
--- a/crates/core/src/reducer/attempts.rs
+++ b/crates/core/src/reducer/attempts.rs
@@ -208,7 +208,7 @@
             endpoint,
             progress,
         };
-        self.tell_balancer(api::Event::AttemptProgressed(progress));
+        self.notify_balancer(api::Event::AttemptProgressed(progress));
     }
 
     pub(super) fn on_attempt_ended(
@@ -287,7 +287,7 @@
             request_done,
             report,
         };
-        self.tell_balancer(api::Event::AttemptEnded(result));
+        self.notify_balancer(api::Event::AttemptEnded(result));
         self.forget_if_over(request);
     }
 }
--- a/crates/core/src/reducer/balancer.rs
+++ b/crates/core/src/reducer/balancer.rs
@@ -33,11 +33,11 @@
 }
 
 impl Core {
-    pub(super) fn tell_balancer(&mut self, event: api::Event<'static>) {
+    pub(super) fn notify_balancer(&mut self, event: api::Event<'static>) {
         self.balancer_inputs.push_back(BalancerInput::Event(event));
     }
 
-    pub(super) fn tell_balancer_list(&mut self, kind: ListKind, endpoints: Vec<EndpointId>) {
+    pub(super) fn notify_balancer_list(&mut self, kind: ListKind, endpoints: Vec<EndpointId>) {
         self.balancer_inputs
             .push_back(BalancerInput::List { kind, endpoints });
     }
@@ -137,7 +137,7 @@
                 latency,
                 report,
             };
-            self.tell_balancer(api::Event::HealthChecked(result));
+            self.notify_balancer(api::Event::HealthChecked(result));
         } else if let Some(address) = self.endpoints.address(endpoint).cloned() {
             self.health_checks.insert(
                 check,
@@ -176,7 +176,7 @@
             latency,
             report,
         };
-        self.tell_balancer(api::Event::HealthChecked(result));
+        self.notify_balancer(api::Event::HealthChecked(result));
     }
 
     /// Counts a decision that the rules do not permit, and warns, unless a response or the deadline
--- a/crates/core/src/reducer/endpoint_list.rs
+++ b/crates/core/src/reducer/endpoint_list.rs
@@ -102,7 +102,7 @@
         for endpoint in applied.reassigned {
             effects.push(Effect::CloseIdleConnections { endpoint });
         }
-        self.tell_balancer_list(applied.kind, applied.endpoints);
+        self.notify_balancer_list(applied.kind, applied.endpoints);
         self.review_leases(now, effects);
     }
 
@@ -117,7 +117,7 @@
                 endpoints: listed.len(),
             }));
         }
-        self.tell_balancer_list(ListKind::Snapshot, listed);
+        self.notify_balancer_list(ListKind::Snapshot, listed);
         if has_valid_lease {
             self.report_ready(effects);
         }
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -128,7 +128,7 @@
         self.timers
             .set(respond_at(deadline), Timer::RequestDeadline(id));
         self.waiting.insert(handle, id);
-        self.tell_balancer(api::Event::RequestArrived(IncomingRequest {
+        self.notify_balancer(api::Event::RequestArrived(IncomingRequest {
             request: id,
             class: request.class,
             // The whole time, also during a shutdown: a shorter one would look like a request sent
@@ -202,7 +202,7 @@
         if request.handles.is_empty() && request.unique_id.is_none() && !request.is_done {
             self.consume_id(now, id);
             self.finish(id);
-            self.tell_balancer(api::Event::ClientDisconnected { request: id });
+            self.notify_balancer(api::Event::ClientDisconnected { request: id });
         }
     }
 
@@ -213,12 +213,12 @@
         effects: &mut Vec<Effect>,
     ) {
         // The decisions say whether it is shed or has failed.
-        self.tell_balancer(api::Event::DeadlineReached { request: id });
+        self.notify_balancer(api::Event::DeadlineReached { request: id });
         self.run_balancer(now, effects);
         // Whatever they say, the client gets a response.
         let response = ClientResponse::Failed(Failure::NotServed);
         self.respond(now, id, &response, effects);
-        self.tell_balancer(api::Event::ClientDisconnected { request: id });
+        self.notify_balancer(api::Event::ClientDisconnected { request: id });
     }
 
     /// Gives all clients of a request their final response, unless they have one.
--- a/crates/core/src/reducer/timers.rs
+++ b/crates/core/src/reducer/timers.rs
@@ -93,7 +93,7 @@
             match timer {
                 Timer::AttemptTimeout(attempt) => self.on_attempt_timeout(now, attempt, effects),
                 Timer::RequestDeadline(request) => self.on_request_deadline(now, request, effects),
-                Timer::Balancer => self.tell_balancer(api::Event::TimerFired),
+                Timer::Balancer => self.notify_balancer(api::Event::TimerFired),
                 Timer::CloseFrontends => self.close_frontends(effects),
                 Timer::Lease => self.review_leases(now, effects),
                 Timer::ReadyWithoutList => self.report_ready(effects),
