--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -75,7 +75,7 @@
 
 impl Instance {
     fn start(start: &wire::Start) -> Result<Instance, EventError> {
-        let balancer = Balancer::new(start.settings.settings()?, start.seed)?;
+        let balancer = Balancer::new(start.settings.to_settings()?, start.seed)?;
         let names = Names::new(start.settings.clone());
         Ok(Instance {
             number: start.instance,
@@ -145,12 +145,12 @@
         request: &wire::RequestArrived,
     ) -> Result<(), EventError> {
         let settings = self.names.settings();
-        let class = settings.class(&request.class);
+        let class = settings.class_index(&request.class);
         let class = class.ok_or_else(|| EventError::UnknownClass(request.class.to_string()))?;
         let tenant = request
             .tenant
             .as_ref()
-            .and_then(|name| settings.tenant(name.as_str()?));
+            .and_then(|name| settings.tenant_id(name.as_str()?));
         let incoming = IncomingRequest {
             request: self.names.open_request(&request.request)?,
             class: ClassId(class),
--- a/crates/adapter/src/names.rs
+++ b/crates/adapter/src/names.rs
@@ -50,8 +50,8 @@
         &mut self,
         entry: &'a wire::EndpointEntry,
     ) -> Result<EndpointEntry<'a>, EventError> {
-        let zone = self.settings.zone(entry.zone.as_deref());
-        let kind = self.settings.kind(entry.kind.as_deref());
+        let zone = self.settings.zone_id(entry.zone.as_deref());
+        let kind = self.settings.kind_id(entry.kind.as_deref());
         Ok(EndpointEntry {
             endpoint: self.endpoint_id_or_new(&entry.name),
             name: &entry.name,
@@ -65,7 +65,7 @@
             },
             started_at: Timestamp::from_micros(entry.started_at_us),
             relative_size: self.settings.relative_size(entry.weight),
-            starts_warm: false,
+            skips_slow_start: false,
             max_concurrent: None,
         })
     }
@@ -155,7 +155,7 @@
     /// A load report, whose values come in the order of the settings.
     pub fn load_report(&self, values: Option<&[f64]>) -> Option<LoadReport> {
         let names = self.settings.load_reports.fields.iter().map(String::as_str);
-        Some(DeploymentSettings::load_report(
+        Some(DeploymentSettings::build_load_report(
             names.zip(values?.iter().copied()),
         ))
     }
--- a/crates/core/src/endpoints/list.rs
+++ b/crates/core/src/endpoints/list.rs
@@ -53,7 +53,7 @@
     /// Its size beside other endpoints, without a unit; 0 where it is not known.
     pub relative_size: f64,
     /// It has all its capacity from its start on.
-    pub starts_warm: bool,
+    pub skips_slow_start: bool,
     /// Requests that it takes at a time, where it keeps no queue of its own.
     pub max_concurrent: Option<u32>,
 }
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -98,7 +98,7 @@
         as_of: Timestamp,
         signal: LeaseSignal,
     ) {
-        self.leases.get_mut(source).note(as_of, signal);
+        self.leases.get_mut(source).record_signal(as_of, signal);
     }
 
     /// When the lease on the list of a source ends unless it is renewed.
@@ -163,7 +163,7 @@
             },
             started_at: endpoint.started_at,
             relative_size: endpoint.relative_size,
-            starts_warm: endpoint.starts_warm,
+            skips_slow_start: endpoint.skips_slow_start,
             max_concurrent: endpoint.max_concurrent,
         }
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -57,7 +57,7 @@
         /// The source.
         source: EndpointSource,
         /// The earliest time at which the update can have been true: see
-        /// [`Lease::note`](pumiceway_decisions::rules::Lease::note).
+        /// [`Lease::record_signal`](pumiceway_decisions::rules::Lease::record_signal).
         as_of: Timestamp,
         /// The update.
         update: EndpointListUpdate,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,7 +17,7 @@
 //!     r#"{"lanes": [{"name": "rate-push", "aim-us": 200000, "deadline-us": 5000000, "points": 1,
 //!         "semantics": "read_like"}], "limits": {"most-tries": 3}, "rules": {}}"#,
 //! )?;
-//! let mut core = Core::new(settings.settings()?, 42, Retention::default())?;
+//! let mut core = Core::new(settings.to_settings()?, 42, Retention::default())?;
 //! let now = Timestamp::from_micros(1_000_000);
 //! let configured = Event::Configured {
 //!     discovery: Some("127.0.0.1:7000".to_owned()),
--- a/crates/core/src/reducer/attempts.rs
+++ b/crates/core/src/reducer/attempts.rs
@@ -134,13 +134,13 @@
             .filter(|request| !request.is_done);
         let request = request.ok_or(Denial::RequestDone)?;
         let (zone, cell) = self.endpoints.zone_and_cell(send.endpoint);
-        self.permission(now, request).send_to(zone, cell)?;
+        self.permission(now, request).check_endpoint(zone, cell)?;
         self.endpoints.write_permission(now, send.endpoint)
     }
 
     /// What the rules permit for a request.
     pub(super) fn permission(&self, now: Timestamp, request: &OpenRequest) -> rules::Permission {
-        rules::permission(
+        rules::attempt_permission(
             now,
             &self.settings,
             request.class,
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Settings that cannot work; see [`Settings::check`].
+    /// Settings that cannot work; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64, retention: Retention) -> Result<Core, SettingsError> {
         let balancer = Balancer::new(settings.clone(), seed)?;
         Ok(Core {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -177,7 +177,7 @@
         state: EndpointState::Ready,
         started_at: Timestamp::ORIGIN,
         relative_size: 1.0,
-        starts_warm: false,
+        skips_slow_start: false,
         max_concurrent: None,
     }
 }
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -108,7 +108,7 @@
                 let returned = Endpoint {
                     max_concurrent: Some(2),
                     started_at,
-                    starts_warm: true,
+                    skips_slow_start: true,
                     ..endpoint("a")
                 };
                 let original = Endpoint {
--- a/crates/decisions/src/api/endpoint.rs
+++ b/crates/decisions/src/api/endpoint.rs
@@ -36,7 +36,7 @@
     /// Its size beside other endpoints, without a unit; 0 where it is not known.
     pub relative_size: f64,
     /// It has all its capacity from its start on, and needs no slow start.
-    pub starts_warm: bool,
+    pub skips_slow_start: bool,
     /// Requests of any size that it takes at a time, rejecting further ones; `None`: it queues
     /// them.
     pub max_concurrent: Option<u32>,
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Names the first setting that cannot.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -152,5 +152,5 @@
     },
     /// A value that makes no sense.
     #[error("{0} is not usable")]
-    Unusable(&'static str),
+    InvalidValue(&'static str),
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -16,7 +16,7 @@
 //!         "semantics": "read_like"}],
 //!         "limits": {"most-tries": 3, "probes": true}, "report": {"via": "answers"}, "rules": {}}"#,
 //! )?;
-//! let mut balancer = Balancer::new(settings.settings()?, 42)?;
+//! let mut balancer = Balancer::new(settings.to_settings()?, 42)?;
 //! let mut actions = Vec::new();
 //!
 //! // The host's clock, its list of endpoints, and a request that has arrived.
@@ -30,7 +30,7 @@
 //!     state: EndpointState::Ready,
 //!     started_at: Timestamp::ORIGIN,
 //!     relative_size: 1.0,
-//!     starts_warm: false,
+//!     skips_slow_start: false,
 //!     max_concurrent: None,
 //! }];
 //! balancer.handle(now, Event::EndpointList { kind: ListKind::Snapshot, entries: &list }, &mut actions);
--- a/crates/decisions/src/policy/eligibility.rs
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -17,7 +17,7 @@
 impl Balancer {
     /// What the rules permit for a request.
     pub(super) fn permission(&self, now: Timestamp, request: &Request) -> Permission {
-        rules::permission(
+        rules::attempt_permission(
             now,
             &self.settings,
             request.class,
@@ -37,7 +37,9 @@
         endpoint.state == EndpointState::Ready
             && endpoint.ejected_until.is_none()
             && now >= endpoint.rejects_until
-            && permission.send_to(endpoint.zone, endpoint.cell).is_ok()
+            && permission
+                .check_endpoint(endpoint.zone, endpoint.cell)
+                .is_ok()
             && self.allows_on_probation(now, endpoint, request)
             && !was_sent_to(request, id)
             && self.has_slow_start_budget(now, endpoint, request)
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -79,9 +79,9 @@
     ///
     /// # Errors
     ///
-    /// Settings that cannot work; see [`Settings::check`].
+    /// Settings that cannot work; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let state = BalancerState::new(&settings, health_checks::MAX_CREDIT);
         let preferences = settings
             .classes
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -89,7 +89,7 @@
         let start_is_known = endpoint.started_at > Timestamp::ORIGIN;
         let age = now.saturating_duration_since(endpoint.started_at);
         let is_slow_start = overloads
-            && !endpoint.starts_warm
+            && !endpoint.skips_slow_start
             && start_is_known
             && age < self.settings.slow_start_duration;
         is_slow_start.then_some(age)
--- a/crates/decisions/src/rules/attempts.rs
+++ b/crates/decisions/src/rules/attempts.rs
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Why it may not.
-    pub fn send_to(&self, zone: ZoneId, cell: Option<u64>) -> Result<(), Denial> {
+    pub fn check_endpoint(&self, zone: ZoneId, cell: Option<u64>) -> Result<(), Denial> {
         match self.send? {
             Some(group) if !group.contains(zone, cell) => Err(Denial::MayHaveRun),
             _ => Ok(()),
@@ -74,7 +74,7 @@
 }
 
 /// What the rules permit for a request of this class, after these attempts.
-pub fn permission(
+pub fn attempt_permission(
     now: Timestamp,
     settings: &Settings,
     class: ClassId,
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -113,7 +113,7 @@
     /// `as_of` is the earliest time at which the signal can have been true: for a message, when it
     /// can have been sent; for the end of a watch, when the watch was last seen open or was given
     /// up.
-    pub fn note(&mut self, as_of: Timestamp, signal: LeaseSignal) {
+    pub fn record_signal(&mut self, as_of: Timestamp, signal: LeaseSignal) {
         let Some(terms) = self.terms else {
             if signal == LeaseSignal::Confirmed {
                 self.state = LeaseState::Confirmed {
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -10,7 +10,7 @@
 pub mod attempts;
 pub mod membership;
 
-pub use attempts::{AttemptRecord, DeduplicationGroup, Execution, Permission, permission};
+pub use attempts::{AttemptRecord, DeduplicationGroup, Execution, Permission, attempt_permission};
 pub use membership::{Lease, LeaseSignal, LeaseTerms};
 
 use crate::api::{EndpointState, Timestamp};
--- a/crates/decisions/src/settings/convert.rs
+++ b/crates/decisions/src/settings/convert.rs
@@ -22,7 +22,7 @@
     UnknownZone(String),
     /// The decisions cannot work with them.
     #[error(transparent)]
-    Unusable(#[from] SettingsError),
+    Invalid(#[from] SettingsError),
 }
 
 /// Indices of the names that the settings know; an unknown name allows nothing and is no error.
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// An unknown home zone, or settings that cannot work.
-    pub fn settings(&self) -> Result<Settings, DeploymentSettingsError> {
+    pub fn to_settings(&self) -> Result<Settings, DeploymentSettingsError> {
         let settings = Settings {
             instance_index: self.instance_index,
             instance_count: self.instance_count.max(1),
@@ -103,7 +103,7 @@
             overload_window: Duration::from_micros(self.rules.overload_window_us),
             max_queued: self.limits.max_queued,
         };
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
@@ -112,7 +112,7 @@
             return Ok(None);
         };
         let zone = self
-            .zone(Some(name))
+            .zone_id(Some(name))
             .ok_or_else(|| DeploymentSettingsError::UnknownZone(name.clone()))?;
         Ok(Some(zone))
     }
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -2,7 +2,7 @@
 //! dispatcher's configuration.
 //!
 //! Its keys are those of the deployment's pages; here they get the terms of the decisions, once.
-//! [`DeploymentSettings::settings`] converts and checks the document.
+//! [`DeploymentSettings::to_settings`] converts and checks the document.
 
 mod convert;
 
@@ -299,12 +299,12 @@
 
 impl DeploymentSettings {
     /// The index of the class of this name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
     /// The tenant of this name.
-    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+    pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenants
             .iter()
             .position(|tenant| tenant.name == name)
@@ -313,7 +313,7 @@
 
     /// The zone of this name. Endpoints without one are in the first, and so are all where the
     /// settings name none.
-    pub fn zone(&self, name: Option<&str>) -> Option<ZoneId> {
+    pub fn zone_id(&self, name: Option<&str>) -> Option<ZoneId> {
         let name = name.filter(|_| !self.zones.is_empty());
         name.map_or(Some(0), |name| index_of(&self.zones, name))
             .map(ZoneId)
@@ -321,7 +321,7 @@
 
     /// The machine kind of this name. Endpoints without one are of the first, and so are all where
     /// the settings name none.
-    pub fn kind(&self, name: Option<&str>) -> Option<KindId> {
+    pub fn kind_id(&self, name: Option<&str>) -> Option<KindId> {
         let name = name.filter(|_| !self.kinds.is_empty());
         name.map_or(Some(0), |name| index_of(&self.kinds, name))
             .map(KindId)
@@ -341,7 +341,7 @@
 
     /// A load report from its values by name. The settings and the sockets name some values
     /// differently.
-    pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
+    pub fn build_load_report<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, value) in values {
             match name {
--- a/crates/decisions/src/state/endpoint.rs
+++ b/crates/decisions/src/state/endpoint.rs
@@ -22,7 +22,7 @@
     pub(crate) cell: Option<u64>,
     pub(crate) relative_size: f64,
     pub(crate) state: EndpointState,
-    pub(crate) starts_warm: bool,
+    pub(crate) skips_slow_start: bool,
     pub(crate) max_concurrent: Option<u32>,
     /// When its process last started, as the list says.
     pub(crate) listed_started_at: Timestamp,
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -256,7 +256,7 @@
         endpoint.listed_started_at = entry.started_at;
         endpoint.started_at = endpoint.started_at.max(entry.started_at);
         endpoint.relative_size = entry.relative_size;
-        endpoint.starts_warm = entry.starts_warm;
+        endpoint.skips_slow_start = entry.skips_slow_start;
         endpoint.max_concurrent = entry.max_concurrent;
         is_renamed
     }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -81,7 +81,7 @@
         state: EndpointState::Ready,
         started_at: Timestamp::ORIGIN,
         relative_size: 1.0,
-        starts_warm: false,
+        skips_slow_start: false,
         max_concurrent: None,
     }
 }
--- a/crates/decisions/tests/retry_rules.rs
+++ b/crates/decisions/tests/retry_rules.rs
@@ -44,7 +44,7 @@
 /// The settings that a document of [`DEPLOYMENTS`] gives.
 fn deployment_settings(document: &str) -> Settings {
     let document: DeploymentSettings = serde_json::from_str(document).unwrap();
-    document.settings().unwrap()
+    document.to_settings().unwrap()
 }
 
 /// A request whose first attempt is in flight.
@@ -291,7 +291,7 @@
             });
             let restarted = EndpointEntry {
                 started_at: START,
-                starts_warm: true,
+                skips_slow_start: true,
                 ..limited
             };
             host.update_endpoints(ListKind::Delta, &[restarted]);
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -69,7 +69,7 @@
 /// overload; any other one gets few requests at first.
 #[test]
 fn endpoint_that_starts_warm_or_cannot_overload_has_no_slow_start() {
-    for (starts_warm, overload_multiple, expected) in
+    for (skips_slow_start, overload_multiple, expected) in
         [(true, 3.0, 20), (false, 0.0, 20), (false, 3.0, 1)]
     {
         let mut settings = settings_without_reports(Idempotency::Idempotent);
@@ -78,7 +78,7 @@
         let mut host = TestHost::new(settings, &[], 1.0);
         let started = EndpointEntry {
             started_at: host.now,
-            starts_warm,
+            skips_slow_start,
             max_concurrent: Some(100),
             ..entry(0, 0)
         };
@@ -90,7 +90,7 @@
             } else {
                 sent_count <= 5
             },
-            "{starts_warm} {overload_multiple}: {sent_count}"
+            "{skips_slow_start} {overload_multiple}: {sent_count}"
         );
     }
 }
--- a/crates/net/src/config/error.rs
+++ b/crates/net/src/config/error.rs
@@ -51,11 +51,11 @@
     fn from(error: DeploymentSettingsError) -> ConfigError {
         let key = match &error {
             DeploymentSettingsError::UnknownZone(_) => "settings.my-zone",
-            DeploymentSettingsError::Unusable(SettingsError::NoClasses) => "settings.lanes",
-            DeploymentSettingsError::Unusable(SettingsError::NoAttempts) => {
+            DeploymentSettingsError::Invalid(SettingsError::NoClasses) => "settings.lanes",
+            DeploymentSettingsError::Invalid(SettingsError::NoAttempts) => {
                 "settings.limits.most-tries"
             }
-            DeploymentSettingsError::Unusable(SettingsError::OutOfRange {
+            DeploymentSettingsError::Invalid(SettingsError::OutOfRange {
                 what: "instance",
                 ..
             }) => "settings.me",
--- a/crates/net/src/config/gearman.rs
+++ b/crates/net/src/config/gearman.rs
@@ -29,7 +29,7 @@
     /// Requests of all frontends that may be queued at once.
     pub queue: usize,
     /// Worker sessions have their whole capacity from the start, without slow start.
-    pub warm: bool,
+    pub skips_slow_start: bool,
     /// What is kept for clients that send a job again.
     pub retention: Retention,
     /// The functions that clients may call, by name.
@@ -58,8 +58,8 @@
     jobs: usize,
     #[serde(default = "default_queue")]
     queue: usize,
-    #[serde(default = "default_warm")]
-    warm: bool,
+    #[serde(default = "default_skips_slow_start", rename = "warm")]
+    skips_slow_start: bool,
     #[serde(default = "default_retention_s")]
     retention_s: u64,
     #[serde(default = "default_kept_answers")]
@@ -91,7 +91,7 @@
     256
 }
 
-fn default_warm() -> bool {
+fn default_skips_slow_start() -> bool {
     true
 }
 
@@ -135,7 +135,7 @@
             connections: written.connections,
             jobs: written.jobs,
             queue: written.queue,
-            warm: written.warm,
+            skips_slow_start: written.skips_slow_start,
             retention,
             functions,
         };
@@ -182,7 +182,7 @@
         name: &str,
         deployment: &DeploymentSettings,
     ) -> Result<Function, ConfigError> {
-        let Some(class) = deployment.class(&self.class) else {
+        let Some(class) = deployment.class_index(&self.class) else {
             return Err(ConfigError::key(
                 &format!("functions.{name}.class"),
                 format!("unknown class {}", self.class),
--- a/crates/net/src/config/mod.rs
+++ b/crates/net/src/config/mod.rs
@@ -69,7 +69,7 @@
         bootstrap_list: ListMessage,
         (sockets, memory_mb): (usize, u64),
     ) -> Result<Config, ConfigError> {
-        let settings = deployment.settings()?;
+        let settings = deployment.to_settings()?;
         Ok(Config {
             name,
             listen,
--- a/crates/net/src/config/platform.rs
+++ b/crates/net/src/config/platform.rs
@@ -82,7 +82,7 @@
         let seed = seed(document.seed.as_deref())?;
         let limits = document.limits;
         check_limits(limits.sockets, limits.memory_mb)?;
-        let settings = document.settings.settings()?;
+        let settings = document.settings.to_settings()?;
         Ok(Config {
             name: env("ROUTER_NAME")
                 .or(document.name)
--- a/crates/net/src/discovery/list_message.rs
+++ b/crates/net/src/discovery/list_message.rs
@@ -99,8 +99,8 @@
 impl ListedEndpoint {
     /// The endpoint in the terms of the core; its name where the settings lack its zone or kind.
     fn endpoint(self, settings: &DeploymentSettings) -> Result<Endpoint, String> {
-        let zone = settings.zone(self.zone.as_deref());
-        let kind = settings.kind(self.kind.as_deref());
+        let zone = settings.zone_id(self.zone.as_deref());
+        let kind = settings.kind_id(self.kind.as_deref());
         let (zone, kind) = match (zone, kind) {
             (Some(zone), Some(kind)) => (zone, kind),
             // What is gone is gone wherever it was.
@@ -122,7 +122,7 @@
             },
             started_at: Timestamp::from_micros(self.started_at_ms.saturating_mul(1_000)),
             relative_size: settings.relative_size(self.weight),
-            starts_warm: false,
+            skips_slow_start: false,
             max_concurrent: None,
         })
     }
--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -186,5 +186,9 @@
         class.max_queue_time = class.max_queue_time.or(Some(class.deadline));
     }
     config.settings.max_queued = gearman.queue;
-    Ok(WorkerSessions::new(events.clone(), kinds, gearman.warm))
+    Ok(WorkerSessions::new(
+        events.clone(),
+        kinds,
+        gearman.skips_slow_start,
+    ))
 }
--- a/crates/net/src/event_loop/tests/sockets.rs
+++ b/crates/net/src/event_loop/tests/sockets.rs
@@ -27,7 +27,7 @@
         outbound,
     };
     let (events, messages) = EventSender::new();
-    let core = Core::new(settings.settings().unwrap(), 7, Retention::default()).unwrap();
+    let core = Core::new(settings.to_settings().unwrap(), 7, Retention::default()).unwrap();
     let mut event_loop = EventLoop::new(Clock::start(), core, events, settings, &sockets);
     let endpoints = endpoints
         .iter()
@@ -57,7 +57,7 @@
         state: EndpointState::Ready,
         started_at: Timestamp::ORIGIN,
         relative_size: 0.0,
-        starts_warm: true,
+        skips_slow_start: true,
         max_concurrent: Some(1),
     }
 }
--- a/crates/net/src/frontend/gearman/workers/mod.rs
+++ b/crates/net/src/frontend/gearman/workers/mod.rs
@@ -32,7 +32,7 @@
     events: EventSender,
     kinds: SessionKinds,
     /// Sessions have all their capacity from the start.
-    starts_warm: bool,
+    skips_slow_start: bool,
     sessions: BTreeMap<u64, Session>,
     /// The numbers in the names of endpoints. The next session uses the number of one that was
     /// closed; otherwise each worker that reconnects would leave an endpoint behind.
@@ -41,11 +41,11 @@
 
 impl WorkerSessions {
     /// No sessions yet.
-    pub fn new(events: EventSender, kinds: SessionKinds, starts_warm: bool) -> WorkerSessions {
+    pub fn new(events: EventSender, kinds: SessionKinds, skips_slow_start: bool) -> WorkerSessions {
         WorkerSessions(Arc::new(Mutex::new(Inner {
             events,
             kinds,
-            starts_warm,
+            skips_slow_start,
             sessions: BTreeMap::new(),
             endpoint_numbers: BTreeSet::new(),
         })))
@@ -296,7 +296,7 @@
         let Some(worker) = self.sessions.get(&session) else {
             return;
         };
-        let endpoint = worker.endpoint(session, state, &self.kinds, self.starts_warm);
+        let endpoint = worker.endpoint(session, state, &self.kinds, self.skips_slow_start);
         self.events.send(Event::EndpointListUpdated {
             source: EndpointSource::Gearman,
             // Sessions have no lease that a time could renew.
--- a/crates/net/src/frontend/gearman/workers/session.rs
+++ b/crates/net/src/frontend/gearman/workers/session.rs
@@ -68,7 +68,7 @@
         session: u64,
         state: EndpointState,
         kinds: &SessionKinds,
-        starts_warm: bool,
+        skips_slow_start: bool,
     ) -> Endpoint {
         let kind = kinds.of(self.abilities.keys().map(|&class| ClassId(class)));
         Endpoint {
@@ -84,7 +84,7 @@
             },
             started_at: self.opened_at,
             relative_size: RELATIVE_SIZE,
-            starts_warm,
+            skips_slow_start,
             max_concurrent: Some(1),
         }
     }
--- a/crates/net/src/frontend/http/request.rs
+++ b/crates/net/src/frontend/http/request.rs
@@ -198,7 +198,9 @@
 ) -> Result<ClassId, RequestError> {
     let path = uri.path().trim_start_matches('/');
     let name = path.split('/').next().unwrap_or_default();
-    let class = settings.class(name).ok_or(RequestError::UnknownClass)?;
+    let class = settings
+        .class_index(name)
+        .ok_or(RequestError::UnknownClass)?;
     if single_header(headers, CLASS_HEADER)?.is_some_and(|header| header != name) {
         return Err(RequestError::ContradictoryClass);
     }
@@ -254,7 +256,9 @@
         return Ok(None);
     };
     // A mistyped name is an error: its jobs would count for no tenant, and yield to all others.
-    let tenant = settings.tenant(name).ok_or(RequestError::UnknownTenant)?;
+    let tenant = settings
+        .tenant_id(name)
+        .ok_or(RequestError::UnknownTenant)?;
     Ok(Some(tenant))
 }
 
--- a/crates/net/src/upstream/load_report.rs
+++ b/crates/net/src/upstream/load_report.rs
@@ -27,7 +27,7 @@
     if values.is_empty() {
         return None;
     }
-    Some(DeploymentSettings::load_report(values.into_iter()))
+    Some(DeploymentSettings::build_load_report(values.into_iter()))
 }
 
 /// The load report in a JSON object.
@@ -35,7 +35,7 @@
     let numbers = object
         .iter()
         .filter_map(|(name, value)| Some((name.as_str(), value.as_f64()?)));
-    DeploymentSettings::load_report(numbers)
+    DeploymentSettings::build_load_report(numbers)
 }
 
 fn parse_pair(pair: &str) -> Option<(&str, f64)> {
--- a/crates/net/tests/repeats.rs
+++ b/crates/net/tests/repeats.rs
@@ -87,7 +87,7 @@
             Duration::from_micros(expected_us)
         );
         assert_eq!(
-            settings.settings().unwrap().connect_timeout,
+            settings.to_settings().unwrap().connect_timeout,
             Duration::from_micros(expected_us)
         );
     }
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -220,13 +220,13 @@
     let queue_orders = (polled.service.queue_order, pushed.service.queue_order);
     assert_eq!(queue_orders, (QueueOrder::Fifo, QueueOrder::Priority));
     assert_eq!(
-        (pushed.zone(Some("c")), pushed.zone(Some("d"))),
+        (pushed.zone_id(Some("c")), pushed.zone_id(Some("d"))),
         (Some(ZoneId(2)), None)
     );
     assert_eq!(
         (
-            pushed.tenant("t2").map(|tenant| tenant.0),
-            pushed.tenant("t3")
+            pushed.tenant_id("t2").map(|tenant| tenant.0),
+            pushed.tenant_id("t3")
         ),
         (Some(1), None)
     );
--- a/crates/site/src/convert/gearman.rs
+++ b/crates/site/src/convert/gearman.rs
@@ -36,7 +36,7 @@
     deployment: &DeploymentSettings,
 ) -> Result<Function, SiteError> {
     let class_name = written.class.get_ref();
-    let Some(class) = deployment.class(class_name) else {
+    let Some(class) = deployment.class_index(class_name) else {
         let known: Vec<&str> = deployment
             .classes
             .iter()
@@ -127,7 +127,7 @@
             connections: self.connections,
             jobs: self.jobs,
             queue: self.max_queued,
-            warm: true,
+            skips_slow_start: true,
             retention: self.retention,
             functions,
         }
--- a/crates/site/tests/old_site_file.rs
+++ b/crates/site/tests/old_site_file.rs
@@ -83,7 +83,7 @@
         connections: 64,
         jobs: 256,
         queue: 256,
-        warm: true,
+        skips_slow_start: true,
         retention: Retention {
             time: Duration::from_secs(600),
             entries: 10_000,
--- a/crates/test-support/benches/decision.rs
+++ b/crates/test-support/benches/decision.rs
@@ -126,7 +126,7 @@
         state: EndpointState::Ready,
         started_at: Timestamp::ORIGIN,
         relative_size: 1.0,
-        starts_warm: false,
+        skips_slow_start: false,
         max_concurrent: None,
     }
 }
--- a/crates/test-support/src/fleet/endpoint_list.rs
+++ b/crates/test-support/src/fleet/endpoint_list.rs
@@ -72,7 +72,7 @@
             state: self.state_at(endpoint, version),
             started_at: self.started_at(endpoint, version),
             relative_size,
-            starts_warm: false,
+            skips_slow_start: false,
             max_concurrent: None,
         }
     }
