--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -64,7 +64,7 @@
     },
     /// The same from the address of a source before a new configuration: it no longer confirms
     /// anything.
-    FormerSourceUpdated {
+    PreviousSourceUpdated {
         /// The source.
         source: EndpointSource,
         /// The update.
--- a/crates/core/src/reducer/endpoint_list.rs
+++ b/crates/core/src/reducer/endpoint_list.rs
@@ -34,7 +34,7 @@
         self.announce_update(now, applied, effects);
     }
 
-    pub(super) fn on_former_source_updated(
+    pub(super) fn on_previous_source_updated(
         &mut self,
         now: Timestamp,
         source: EndpointSource,
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -150,8 +150,8 @@
             } => {
                 self.on_list_updated(now, source, as_of, update, effects);
             }
-            Event::FormerSourceUpdated { source, update } => {
-                self.on_former_source_updated(now, source, update, effects);
+            Event::PreviousSourceUpdated { source, update } => {
+                self.on_previous_source_updated(now, source, update, effects);
             }
             Event::LeaseRequired { source } => self.on_lease_required(now, source),
             Event::Configured {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -254,7 +254,7 @@
     for _ in 0..4 {
         assert!(dispatcher.sends());
         dispatcher.advance(SECOND);
-        dispatcher.core.reduce(Event::FormerSourceUpdated {
+        dispatcher.core.reduce(Event::PreviousSourceUpdated {
             source: EndpointSource::Discovery,
             update: EndpointListUpdate::Unchanged,
         });
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -269,7 +269,7 @@
     fn on_watch_update(&mut self, update: SourceUpdate) {
         if self.next_watch.is_some() {
             let SourceUpdate { source, update, .. } = update;
-            self.feed(Event::FormerSourceUpdated { source, update });
+            self.feed(Event::PreviousSourceUpdated { source, update });
         } else {
             self.on_source_update(update);
         }
