--- a/crates/net/src/config/address.rs
+++ b/crates/net/src/config/address.rs
@@ -8,7 +8,7 @@
 /// # Errors
 ///
 /// The text is not an IP address with a port.
-pub fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+pub fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| {
         ConfigError::key(
             key,
--- a/crates/net/src/config/gearman.rs
+++ b/crates/net/src/config/gearman.rs
@@ -1,6 +1,6 @@
 //! The file that switches the Gearman frontend on.
 
-use super::{ConfigError, Retention, address, read_toml};
+use super::{ConfigError, Retention, parse_address, read_toml};
 use pumiceway_decisions::api::ClassId;
 use pumiceway_decisions::settings::{ClassSettings, DeploymentSettings};
 use serde::Deserialize;
@@ -131,7 +131,7 @@
             functions.insert(name, function);
         }
         let config = GearmanConfig {
-            listen: address("listen", &written.listen)?,
+            listen: parse_address("listen", &written.listen)?,
             connections: written.connections,
             jobs: written.jobs,
             queue: written.queue,
--- a/crates/net/src/config/mod.rs
+++ b/crates/net/src/config/mod.rs
@@ -12,12 +12,12 @@
 mod toml_file;
 mod zookeeper;
 
-pub use address::address;
+pub use address::parse_address;
 pub use error::ConfigError;
 pub use gearman::{Function, GearmanConfig};
 pub use pumiceway_core::Retention;
 pub use reload::{Reload, StartupValues};
-pub use sockets::Sockets;
+pub use sockets::SocketBudget;
 pub use toml_file::{TomlError, parse_toml, read_toml};
 pub use zookeeper::ZooKeeperConfig;
 
@@ -28,6 +28,15 @@
 use std::path::Path;
 use std::sync::Arc;
 
+/// What the process may use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceLimits {
+    /// Number of descriptors.
+    pub sockets: usize,
+    /// Memory, in MiB.
+    pub memory_mb: u64,
+}
+
 /// The configuration of a dispatcher at its start.
 #[derive(Debug)]
 pub struct Config {
@@ -40,7 +49,7 @@
     /// The seed for random numbers.
     pub seed: u64,
     /// How descriptors are divided.
-    pub sockets: Sockets,
+    pub socket_budget: SocketBudget,
     /// The endpoint list as this dispatcher last had it.
     pub bootstrap_list: Option<ListMessage>,
     /// The settings as written.
@@ -57,17 +66,17 @@
 
 impl Config {
     /// A configuration that does not come from the platform's document: the listener, the settings,
-    /// the endpoints, and the descriptors and MiB of memory that the process may use.
+    /// the endpoints, and what the process may use.
     ///
     /// # Errors
     ///
     /// The settings cannot work.
-    pub fn of_site(
+    pub fn from_site(
         name: String,
         listen: SocketAddr,
         deployment: DeploymentSettings,
         bootstrap_list: ListMessage,
-        (sockets, memory_mb): (usize, u64),
+        limits: ResourceLimits,
     ) -> Result<Config, ConfigError> {
         let settings = deployment.to_settings()?;
         Ok(Config {
@@ -75,7 +84,10 @@
             listen,
             discovery: None,
             seed: fastrand::u64(..),
-            sockets: Sockets::divide(sockets.max(sockets::MIN_SOCKETS), memory_mb),
+            socket_budget: SocketBudget::divide(
+                limits.sockets.max(sockets::MIN_SOCKETS),
+                limits.memory_mb,
+            ),
             bootstrap_list: Some(bootstrap_list),
             deployment: Arc::new(deployment),
             settings,
--- a/crates/net/src/config/platform.rs
+++ b/crates/net/src/config/platform.rs
@@ -5,7 +5,7 @@
 
 use super::address::is_host_and_port;
 use super::sockets::check_limits;
-use super::{Config, ConfigError, Sockets, StartupValues, address, read_text};
+use super::{Config, ConfigError, SocketBudget, StartupValues, parse_address, read_text};
 use crate::discovery::ListMessage;
 use pumiceway_decisions::settings::DeploymentSettings;
 use serde::Deserialize;
@@ -72,7 +72,7 @@
         let listen = env("ROUTER_LISTEN")
             .or(document.listen)
             .ok_or_else(|| ConfigError::key("listen", "missing"))?;
-        let listen = address("listen", &listen)?;
+        let listen = parse_address("listen", &listen)?;
         let discovery = env("ROUTER_DISCOVERY")
             .or(document.discovery)
             .filter(|address| !address.is_empty());
@@ -90,7 +90,7 @@
             listen,
             discovery,
             seed,
-            sockets: Sockets::divide(limits.sockets, limits.memory_mb),
+            socket_budget: SocketBudget::divide(limits.sockets, limits.memory_mb),
             bootstrap_list: document.bootstrap_list,
             deployment: Arc::new(document.settings),
             settings,
--- a/crates/net/src/config/sockets.rs
+++ b/crates/net/src/config/sockets.rs
@@ -16,7 +16,7 @@
 
 /// How many descriptors each part of the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sockets {
+pub struct SocketBudget {
     /// Connections of clients that are served.
     pub inbound: usize,
     /// Further connections of clients that only get an overload response, and as many again that
@@ -26,15 +26,15 @@
     pub outbound: usize,
 }
 
-impl Sockets {
+impl SocketBudget {
     /// Divides this many descriptors, at least [`MIN_SOCKETS`], in a process that may use
     /// `memory_mb` MiB.
     ///
     /// A request that is served has a connection to an endpoint, so both sides get the same number.
-    pub(super) fn divide(sockets: usize, memory_mb: u64) -> Sockets {
+    pub(super) fn divide(sockets: usize, memory_mb: u64) -> SocketBudget {
         let available = sockets - RESERVED_DESCRIPTORS;
         let memory_for_clients = (memory_mb << 20) as usize / 2;
-        Sockets {
+        SocketBudget {
             inbound: (available * 9 / 20).min(memory_for_clients / BYTES_PER_CLIENT),
             spare: available / 20,
             outbound: available * 9 / 20,
--- a/crates/net/src/config/toml_file.rs
+++ b/crates/net/src/config/toml_file.rs
@@ -8,32 +8,32 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TomlError {
     /// Where in the text it is, as an offset in bytes.
-    pub at: Option<usize>,
+    pub location: Option<usize>,
     /// The key at fault; empty where there is none.
     pub key: String,
     /// What is wrong.
-    pub why: String,
+    pub reason: String,
 }
 
 impl TomlError {
     fn new(error: &toml::de::Error, key: String) -> TomlError {
         TomlError {
-            at: error.span().map(|span| span.start),
+            location: error.span().map(|span| span.start),
             key,
-            why: error.message().to_owned(),
+            reason: error.message().to_owned(),
         }
     }
 
     /// The same error as one of a file with this text.
     fn in_file(self, file: &Path, text: &str) -> ConfigError {
-        let place = match self.at {
+        let place = match self.location {
             Some(offset) => format!("{}, line {}", file.display(), line_at(text, offset)),
             None => file.display().to_string(),
         };
         if self.key.is_empty() {
-            return ConfigError::file(&place, self.why);
+            return ConfigError::file(&place, self.reason);
         }
-        ConfigError::key(&self.key, format!("{} (in {place})", self.why))
+        ConfigError::key(&self.key, format!("{} (in {place})", self.reason))
     }
 }
 
--- a/crates/net/src/discovery/list_message.rs
+++ b/crates/net/src/discovery/list_message.rs
@@ -11,7 +11,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct ListMessage {
     /// Version of the list.
-    pub index: u64,
+    #[serde(rename = "index")]
+    pub version: u64,
     /// The message holds the whole list.
     #[serde(default)]
     pub snapshot: bool,
--- a/crates/net/src/discovery/watcher/mod.rs
+++ b/crates/net/src/discovery/watcher/mod.rs
@@ -259,7 +259,7 @@
             return Err(MalformedMessage::DeltaWithoutList);
         };
         // A service that lags behind itself would bring back an endpoint that has left.
-        if version > delta.index && !delta.endpoints.is_empty() {
+        if version > delta.version && !delta.endpoints.is_empty() {
             return Err(MalformedMessage::OutdatedDelta);
         }
         Ok(())
@@ -270,7 +270,7 @@
         let is_snapshot = list.snapshot;
         let order = self
             .versions
-            .observe(list.index, as_of, self.renumbered_after);
+            .observe(list.version, as_of, self.renumbered_after);
         if order == VersionOrder::Renumbered && !is_snapshot {
             return Err(MalformedMessage::Renumbered.into());
         }
@@ -287,7 +287,7 @@
     fn log_list(&self, list: &ListMessage) {
         info!(
             discovery = self.address,
-            version = list.index,
+            version = list.version,
             snapshot = list.snapshot,
             endpoints = list.endpoints.len(),
             "endpoint list received"
--- a/crates/net/src/discovery/zookeeper.rs
+++ b/crates/net/src/discovery/zookeeper.rs
@@ -151,7 +151,7 @@
             }
         }
         Ok(ListMessage {
-            index: 0,
+            version: 0,
             snapshot: true,
             endpoints,
         })
--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -106,11 +106,11 @@
             core,
             events.clone(),
             deployment.clone(),
-            &config.sockets,
+            &config.socket_budget,
         );
         event_loop.workers = workers;
         event_loop.close_frontends = close_frontends;
-        let version = config.bootstrap_list.as_ref().map(|list| list.index);
+        let version = config.bootstrap_list.as_ref().map(|list| list.version);
         let bootstrap_list = config
             .bootstrap_list
             .unwrap_or_default()
@@ -127,7 +127,7 @@
             settings: deployment,
             ready,
         };
-        frontends.spawn(frontend.serve(listener, config.sockets, closing));
+        frontends.spawn(frontend.serve(listener, config.socket_budget, closing));
         spawn_close_notification(frontends, events);
         let gearman_address = gearman_address.map(tracing::field::display);
         info!(name = config.name, %address, gearman = gearman_address, "dispatcher is listening");
@@ -179,7 +179,7 @@
     gearman: &GearmanConfig,
     events: &EventSender,
 ) -> io::Result<WorkerSessions> {
-    config.sockets.inbound -= gearman.connections.min(config.sockets.inbound / 2);
+    config.socket_budget.inbound -= gearman.connections.min(config.socket_budget.inbound / 2);
     let kinds = SessionKinds::add(&mut config.settings)
         .ok_or_else(|| io::Error::other("gearman: too many classes to tell workers apart by"))?;
     for class in &mut config.settings.classes {
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -15,7 +15,7 @@
 pub use clock::Clock;
 pub use dispatcher::Dispatcher;
 
-use crate::config::{Reload, Sockets};
+use crate::config::{Reload, SocketBudget};
 use crate::discovery::SourceUpdate;
 use crate::frontend::gearman::workers::WorkerSessions;
 use crate::frontend::{EventSender, LoopMessage};
@@ -98,7 +98,7 @@
         core: Core,
         events: EventSender,
         settings: Arc<DeploymentSettings>,
-        sockets: &Sockets,
+        sockets: &SocketBudget,
     ) -> EventLoop {
         EventLoop {
             clock,
--- a/crates/net/src/event_loop/tests.rs
+++ b/crates/net/src/event_loop/tests.rs
@@ -26,7 +26,7 @@
         core,
         events,
         config.deployment.clone(),
-        &config.sockets,
+        &config.socket_budget,
     );
     let list = config.bootstrap_list.unwrap();
     event_loop.feed(Event::EndpointListUpdated {
--- a/crates/net/src/event_loop/tests/sockets.rs
+++ b/crates/net/src/event_loop/tests/sockets.rs
@@ -21,7 +21,7 @@
     endpoints: &[&Listener],
 ) -> (EventLoop, UnboundedReceiver<LoopMessage>) {
     let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_str(SETTINGS).unwrap());
-    let sockets = Sockets {
+    let sockets = SocketBudget {
         inbound: 8,
         spare: 2,
         outbound,
--- a/crates/net/src/event_loop/upstreams.rs
+++ b/crates/net/src/event_loop/upstreams.rs
@@ -1,6 +1,6 @@
 //! The HTTP clients of all endpoints, and the sockets that they share.
 
-use crate::config::Sockets;
+use crate::config::SocketBudget;
 use crate::upstream::{PoolSettings, UpstreamClient};
 use pumiceway_decisions::api::{EndpointId, Timestamp};
 use pumiceway_decisions::settings::DeploymentSettings;
@@ -27,7 +27,7 @@
 }
 
 impl Upstreams {
-    pub(super) fn new(settings: &DeploymentSettings, sockets: &Sockets) -> Upstreams {
+    pub(super) fn new(settings: &DeploymentSettings, sockets: &SocketBudget) -> Upstreams {
         Upstreams {
             pool: PoolSettings::new(settings, sockets),
             clients: HashMap::new(),
--- a/crates/net/src/frontend/gearman/connection.rs
+++ b/crates/net/src/frontend/gearman/connection.rs
@@ -10,7 +10,7 @@
 use super::workers::fraction;
 use super::{GearmanFrontend, admin};
 use crate::frontend::admission::{self, ClientConnection};
-use crate::frontend::http::{Closing, closed};
+use crate::frontend::http::{CloseSignal, wait_for_close};
 use futures_core::Stream;
 use pumiceway_core::{AttemptOutcome, AttemptUpdate};
 use pumiceway_decisions::api::Timestamp;
@@ -43,7 +43,7 @@
     pub opened_at: Timestamp,
     pub stream: TcpStream,
     pub peer: String,
-    pub closing: Closing,
+    pub closing: CloseSignal,
     pub shutdown_guard: ShutdownGuard,
 }
 
@@ -108,7 +108,7 @@
 
 impl Connection<'_> {
     /// Runs until the connection is to be closed.
-    async fn run(&mut self, mut closing: Closing, state: &ClientConnection) {
+    async fn run(&mut self, mut closing: CloseSignal, state: &ClientConnection) {
         let mut stall_check = interval(STALL_CHECK_INTERVAL);
         loop {
             if self.is_shutting_down && self.clients.is_idle() {
@@ -143,7 +143,7 @@
                     );
                     return;
                 }
-                () = closed(&mut closing), if !self.is_shutting_down => {
+                () = wait_for_close(&mut closing), if !self.is_shutting_down => {
                     self.is_shutting_down = true;
                     self.clients.close();
                     continue;
--- a/crates/net/src/frontend/gearman/mod.rs
+++ b/crates/net/src/frontend/gearman/mod.rs
@@ -16,7 +16,7 @@
 use crate::config::{Function, GearmanConfig};
 use crate::frontend::EventSender;
 use crate::frontend::admission::{Admission, AdmissionDecision};
-use crate::frontend::http::{Closing, closed};
+use crate::frontend::http::{CloseSignal, wait_for_close};
 use clients::JobStatuses;
 use connection::Accepted;
 use pumiceway_decisions::api::{ClassId, Timestamp};
@@ -87,7 +87,7 @@
     pub async fn serve(
         self,
         listener: TcpListener,
-        mut closing: Closing,
+        mut closing: CloseSignal,
         now: impl Fn() -> Timestamp,
     ) {
         let admission = Admission::new(self.max_connections, 0);
@@ -96,7 +96,7 @@
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = closed(&mut closing) => break,
+                () = wait_for_close(&mut closing) => break,
             };
             let (stream, peer) = match accepted {
                 Ok(accepted) => accepted,
--- a/crates/net/src/frontend/http/connection.rs
+++ b/crates/net/src/frontend/http/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: served by hyper until its requests, a timeout, an eviction or the shutdown end
 //! it, and then closed.
 
-use super::{Closing, closed};
+use super::{CloseSignal, wait_for_close};
 use crate::frontend::admission::{
     self, ClientConnection, ConnectionPermit, EndReason, InspectedStream, poll_disconnected,
 };
@@ -28,7 +28,7 @@
     stream: TcpStream,
     router: Option<Router>,
     permit: ConnectionPermit,
-    closing: Closing,
+    closing: CloseSignal,
 ) {
     let connection = &permit.connection;
     let _ = stream.set_nodelay(true);
@@ -51,7 +51,7 @@
     stream: &Arc<TcpStream>,
     router: Router,
     connection: &Arc<ClientConnection>,
-    mut closing: Closing,
+    mut closing: CloseSignal,
 ) -> EndReason {
     let service = service_fn(|request| call(router.clone(), connection.clone(), request));
     let inspected = InspectedStream::new(stream.clone(), connection.clone());
@@ -62,7 +62,7 @@
     );
     let mut timeout = pin!(sleep_until(connection.phase_deadline()));
     let mut evicted = pin!(connection.eviction_requested());
-    let mut closing = pin!(closed(&mut closing));
+    let mut closing = pin!(wait_for_close(&mut closing));
     let mut is_closing = false;
     poll_fn(|cx| {
         // An error means that the client has disconnected, or does not speak HTTP: hyper has sent
--- a/crates/net/src/frontend/http/mod.rs
+++ b/crates/net/src/frontend/http/mod.rs
@@ -11,7 +11,7 @@
 mod server;
 
 use super::EventSender;
-use crate::config::Sockets;
+use crate::config::SocketBudget;
 use pumiceway_decisions::settings::DeploymentSettings;
 use server::Server;
 use std::sync::Arc;
@@ -22,10 +22,10 @@
 pub use request::{MAX_BODY_BYTES, RequestError};
 
 /// Set once the frontends are to close.
-pub type Closing = watch::Receiver<bool>;
+pub type CloseSignal = watch::Receiver<bool>;
 
 /// Waits until the frontends are to close.
-pub async fn closed(closing: &mut Closing) {
+pub async fn wait_for_close(closing: &mut CloseSignal) {
     let _ = closing.wait_for(|is_closing| *is_closing).await;
 }
 
@@ -42,7 +42,7 @@
 
 impl HttpFrontend {
     /// Serves clients until `closing` is set, and then until the last connection has ended.
-    pub async fn serve(self, listener: TcpListener, sockets: Sockets, closing: Closing) {
+    pub async fn serve(self, listener: TcpListener, sockets: SocketBudget, closing: CloseSignal) {
         Server::new(self, sockets, closing).run(listener).await;
     }
 }
--- a/crates/net/src/frontend/http/server.rs
+++ b/crates/net/src/frontend/http/server.rs
@@ -4,8 +4,8 @@
 //! closing the listener would reset them.
 
 use super::connection::serve_connection;
-use super::{Closing, HttpFrontend, closed, routes};
-use crate::config::Sockets;
+use super::{CloseSignal, HttpFrontend, routes, wait_for_close};
+use crate::config::SocketBudget;
 use crate::frontend::admission::{Admission, AdmissionDecision};
 use axum::Router;
 use std::sync::Arc;
@@ -24,8 +24,8 @@
 pub(super) struct Server {
     router: Router,
     admission: Arc<Admission>,
-    sockets: Sockets,
-    closing: Closing,
+    sockets: SocketBudget,
+    closing: CloseSignal,
     /// Each connection holds a clone for as long as it is open.
     open_connections: mpsc::Sender<()>,
     all_closed: mpsc::Receiver<()>,
@@ -33,7 +33,11 @@
 
 impl Server {
     /// A server without connections.
-    pub(super) fn new(frontend: HttpFrontend, sockets: Sockets, closing: Closing) -> Server {
+    pub(super) fn new(
+        frontend: HttpFrontend,
+        sockets: SocketBudget,
+        closing: CloseSignal,
+    ) -> Server {
         let (open_connections, all_closed) = mpsc::channel(1);
         Server {
             router: routes::router(frontend),
@@ -66,7 +70,7 @@
                         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
-                () = closed(&mut closing) => return,
+                () = wait_for_close(&mut closing) => return,
             }
         }
     }
--- a/crates/net/src/upstream/pool_settings.rs
+++ b/crates/net/src/upstream/pool_settings.rs
@@ -1,6 +1,6 @@
 //! How connections to endpoints are opened, pooled and checked.
 
-use crate::config::Sockets;
+use crate::config::SocketBudget;
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 
 impl PoolSettings {
     /// The settings of a deployment whose process may open these sockets.
-    pub fn new(settings: &DeploymentSettings, sockets: &Sockets) -> PoolSettings {
+    pub fn new(settings: &DeploymentSettings, sockets: &SocketBudget) -> PoolSettings {
         let connect_timeout = settings.connect_timeout();
         PoolSettings {
             connect_timeout,
--- a/crates/net/src/upstream/tests/settings.rs
+++ b/crates/net/src/upstream/tests/settings.rs
@@ -1,10 +1,10 @@
 //! Pool settings that follow from those of the deployment.
 
-use crate::config::Sockets;
+use crate::config::SocketBudget;
 use crate::upstream::PoolSettings;
 use std::time::Duration;
 
-const SOCKETS: Sockets = Sockets {
+const SOCKETS: SocketBudget = SocketBudget {
     inbound: 1,
     spare: 1,
     outbound: 640,
--- a/crates/net/tests/http_connections/test_frontend.rs
+++ b/crates/net/tests/http_connections/test_frontend.rs
@@ -2,8 +2,8 @@
 
 use crate::sockets::{TEST_TIMEOUT, connect, wait_until};
 use pumiceway_core::{ClientRequest, ClientResponse, Event, RequestHandle};
-use pumiceway_net::config::Sockets;
-use pumiceway_net::frontend::http::{Closing, HttpFrontend};
+use pumiceway_net::config::SocketBudget;
+use pumiceway_net::frontend::http::{CloseSignal, HttpFrontend};
 use pumiceway_net::frontend::{EventSender, LoopMessage};
 use pumiceway_test_support::SETTINGS;
 use std::net::{SocketAddr, TcpStream};
@@ -82,7 +82,7 @@
             settings: Arc::new(serde_json::from_str(settings).unwrap()),
             ready: Arc::new(AtomicBool::new(true)),
         };
-        let sockets = Sockets {
+        let sockets = SocketBudget {
             inbound,
             spare,
             outbound: 1,
@@ -180,8 +180,8 @@
 fn run(
     frontend: HttpFrontend,
     listener: std::net::TcpListener,
-    sockets: Sockets,
-    closing: Closing,
+    sockets: SocketBudget,
+    closing: CloseSignal,
     mut advances: mpsc::UnboundedReceiver<ClockAdvance>,
 ) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
--- a/crates/net/tests/repeats.rs
+++ b/crates/net/tests/repeats.rs
@@ -1,7 +1,7 @@
 //! Repeats on real connections: which jobs are sent again, and what their clients get.
 
 use pumiceway_decisions::settings::DeploymentSettings;
-use pumiceway_net::config::Sockets;
+use pumiceway_net::config::SocketBudget;
 use pumiceway_net::upstream::PoolSettings;
 use pumiceway_test_support::Stage;
 use std::io::Read;
@@ -59,7 +59,7 @@
 // The connect timeout is derived once, for those who open connections and those who decide.
 #[test]
 fn decisions_and_connections_have_the_same_connect_timeout() {
-    let sockets = Sockets {
+    let sockets = SocketBudget {
         inbound: 8,
         spare: 2,
         outbound: 64,
--- a/crates/pumiceway/src/config_files.rs
+++ b/crates/pumiceway/src/config_files.rs
@@ -59,7 +59,7 @@
 
     fn load_platform(&self) -> Result<Config, ConfigError> {
         let mut config = Config::from_environment(|key| std::env::var(key).ok())?;
-        let inbound = config.sockets.inbound;
+        let inbound = config.socket_budget.inbound;
         config.gearman = self
             .gearman
             .as_deref()
--- a/crates/site/src/convert/mod.rs
+++ b/crates/site/src/convert/mod.rs
@@ -12,7 +12,7 @@
     self, ClassSettings, DeploymentSettings, DiscoveryMode, LoadReportSettings, PriceSettings,
     RuleSettings, ServiceTraits, WeightMeaning,
 };
-use pumiceway_net::config::Config;
+use pumiceway_net::config::{Config, ResourceLimits};
 use pumiceway_net::discovery::{ListMessage, ListedEndpoint};
 use pumiceway_net::frontend::gearman::workers::MAX_CLASSES;
 use std::collections::BTreeMap;
@@ -51,16 +51,19 @@
     let deployment = deployment_settings(source, &site.zone, limits, classes)?;
     let functions = gearman::functions(source, site.functions, &deployment)?;
     let gearman_limits = gearman::limits(source, limits, &site.keep)?;
-    let mut config = Config::of_site(
+    let mut config = Config::from_site(
         site.name,
         site.listen.http.0,
         deployment,
         bootstrap_list(site.workers, &site.zone),
-        (sockets, memory_mib),
+        ResourceLimits {
+            sockets,
+            memory_mb: memory_mib,
+        },
     )
     .map_err(|error| source.error("", error.to_string()))?;
     if let Some(listen) = site.listen.gearman {
-        gearman_limits.check_connections(source, limits, config.sockets.inbound)?;
+        gearman_limits.check_connections(source, limits, config.socket_budget.inbound)?;
         let gearman = gearman_limits.into_config(listen.0, functions);
         config.gearman = Some(gearman.with_default_functions(&config.deployment));
     }
@@ -141,7 +144,7 @@
         ListedEndpoint::ready(name, worker.address.0.to_string(), zone.to_owned())
     });
     ListMessage {
-        index: 0,
+        version: 0,
         snapshot: true,
         endpoints: endpoints.collect(),
     }
--- a/crates/site/src/error.rs
+++ b/crates/site/src/error.rs
@@ -68,8 +68,8 @@
     /// An error of the TOML parser.
     pub(crate) fn toml_error(&self, error: TomlError) -> SiteError {
         SiteError {
-            line: error.at.map(|offset| self.line(offset)),
-            ..self.error(error.key, error.why)
+            line: error.location.map(|offset| self.line(offset)),
+            ..self.error(error.key, error.reason)
         }
     }
 
--- a/crates/site/tests/old_site_file.rs
+++ b/crates/site/tests/old_site_file.rs
@@ -4,7 +4,7 @@
 use pumiceway_decisions::api::{
     Class, ClassId, Idempotency, LoadReportSource, Prices, Settings, ZoneId,
 };
-use pumiceway_net::config::{Config, Function, GearmanConfig, Retention, Sockets};
+use pumiceway_net::config::{Config, Function, GearmanConfig, Retention, SocketBudget};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
@@ -120,14 +120,14 @@
     assert_eq!(config.listen, "127.0.0.1:3000".parse().unwrap());
     assert_eq!(config.discovery, None);
     assert_eq!(config.zookeeper, None);
-    let sockets = Sockets {
+    let sockets = SocketBudget {
         inbound: 446,
         spare: 49,
         outbound: 446,
     };
-    assert_eq!(config.sockets, sockets);
+    assert_eq!(config.socket_budget, sockets);
     let list = config.bootstrap_list.unwrap();
-    assert_eq!((list.index, list.snapshot), (0, true));
+    assert_eq!((list.version, list.snapshot), (0, true));
     assert!(list.endpoints.is_empty());
 }
 
--- a/crates/site/tests/site.rs
+++ b/crates/site/tests/site.rs
@@ -256,6 +256,6 @@
     );
     let written_out = read(&uncommented, "site.toml").unwrap();
     assert_eq!(written_out.gearman, defaults.gearman);
-    assert_eq!(written_out.sockets, defaults.sockets);
+    assert_eq!(written_out.socket_budget, defaults.socket_budget);
     assert_eq!(written_out.settings, defaults.settings);
 }
--- a/crates/test-support/src/scenario.rs
+++ b/crates/test-support/src/scenario.rs
@@ -259,7 +259,7 @@
     ));
     std::fs::write(&file, "listen = \"127.0.0.1:0\"\n").unwrap();
     let gearman =
-        GearmanConfig::from_file(&file, &config.deployment, config.sockets.inbound).unwrap();
+        GearmanConfig::from_file(&file, &config.deployment, config.socket_budget.inbound).unwrap();
     std::fs::remove_file(&file).unwrap();
     gearman
 }
