--- a/crates/net/benches/jobs.rs
+++ b/crates/net/benches/jobs.rs
@@ -3,7 +3,7 @@
 //! and ends by itself.
 
 use hdrhistogram::Histogram;
-use pumiceway_test_support::{Peer, Stage, gearman_echo};
+use pumiceway_test_support::{Peer, ScenarioRunner, run_gearman_echo_worker};
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -26,12 +26,14 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("workers  at a time   jobs  takes ms  served   jobs/s   p50 ms   p99 ms   max ms");
     for (workers, at_a_time, jobs, takes_us) in PLAYS {
-        let stage = Stage::with_settings(&[], None, SETTINGS);
+        let runner = ScenarioRunner::with_settings(&[], None, SETTINGS);
         for _ in 0..workers {
-            let address = stage.gearman;
-            std::thread::spawn(move || gearman_echo(address, Duration::from_micros(takes_us)));
+            let address = runner.gearman;
+            std::thread::spawn(move || {
+                run_gearman_echo_worker(address, Duration::from_micros(takes_us));
+            });
         }
-        let mut client = Peer::new(TcpStream::connect(stage.gearman)?);
+        let mut client = Peer::new(TcpStream::connect(runner.gearman)?);
         let mut times = Histogram::<u64>::new(3)?;
         // Jobs are created in the order in which they were submitted; their ends name the handle.
         let mut sent = VecDeque::new();
@@ -44,7 +46,7 @@
                 sent.push_back(Instant::now());
                 submitted += 1;
             }
-            let (name, parts) = client.packet()?;
+            let (name, parts) = client.read_packet()?;
             match name.as_str() {
                 "JOB_CREATED" => drop(sent.pop_front().map(|at| open.insert(parts[0].clone(), at))),
                 "WORK_COMPLETE" | "WORK_FAIL" => {
--- a/crates/net/tests/attempts.rs
+++ b/crates/net/tests/attempts.rs
@@ -3,7 +3,7 @@
 //! Each case is played with each class of each deployment. The endpoint that gets the request `t1`
 //! first sends the text of the case and goes on as it says, once; all other requests are served.
 
-use pumiceway_test_support::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -311,8 +311,12 @@
     } = case;
     let what = format!("{}: {text:?} {then:?}", class.name);
     println!("{what}");
-    let mut stage = Stage::with_settings(&["w1", "w2"], None, deployment.settings);
-    let endpoints = Endpoints::start(vec![stage.take("w1"), stage.take("w2")], text, *then);
+    let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, deployment.settings);
+    let endpoints = Endpoints::start(
+        vec![runner.take_listener("w1"), runner.take_listener("w2")],
+        text,
+        *then,
+    );
     let (attempts, response) = match expected {
         Expected::Served => (1, "200 t1"),
         Expected::MayHaveRun | Expected::TimedOut if !class.may_repeat => (1, "502"),
@@ -328,8 +332,8 @@
         remaining_ms
     };
     let start = Instant::now();
-    stage.go_on(&send_job(class.name, "t1", remaining_ms));
-    stage.go_on(&format!("c expect {response}"));
+    runner.continue_with(&send_job(class.name, "t1", remaining_ms));
+    runner.continue_with(&format!("c expect {response}"));
     // On a slow machine, too: before the next time that the settings name, the shortest deadline of
     // 2 s, is over for the shortest of these.
     assert!(
@@ -339,7 +343,7 @@
     );
     if *expected == Expected::InvalidJob {
         // An invalid request costs its connection.
-        stage.go_on("c expect end\nc close");
+        runner.continue_with("c expect end\nc close");
     }
     // A non-idempotent job is queued while an endpoint is on probation, and may be lost if that
     // closes just then.
@@ -349,8 +353,8 @@
     } else {
         deployment.classes[0]
     };
-    stage.go_on(&send_job(next_class.name, "t2", REMAINING_MS));
-    stage.go_on("c expect 200 t2");
+    runner.continue_with(&send_job(next_class.name, "t2", REMAINING_MS));
+    runner.continue_with("c expect 200 t2");
     let closes = matches!(then, Then::Silence | Then::Flood(_) | Then::Trickle(_));
     while closes && !endpoints.saw_close() {
         assert!(start.elapsed() < PLAY_TIMEOUT, "{what}: still open");
--- a/crates/net/tests/deployments.rs
+++ b/crates/net/tests/deployments.rs
@@ -1,7 +1,7 @@
 //! Requests with idempotency keys, tenants, load reports and labels, as some deployments have them,
 //! against endpoints that the tests play.
 
-use pumiceway_test_support::Stage;
+use pumiceway_test_support::ScenarioRunner;
 
 /// Three classes: idempotent, non-idempotent, and with idempotency keys.
 const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
@@ -12,7 +12,7 @@
   "limits":{"most-tries":3,"cancel":true,"connect-timeout-us":250000,"conn-idle-us":10000000},"rules":{}}"#;
 
 fn play(endpoints: &[&str], script: &str) {
-    Stage::with_settings(endpoints, None, SETTINGS).go_on(script);
+    ScenarioRunner::with_settings(endpoints, None, SETTINGS).continue_with(script);
 }
 
 // Without its key, an endpoint could not tell a request from another one.
@@ -113,7 +113,7 @@
         request("X-Org: other\\r\\n", "t8"),
         request("", "t9")
     );
-    Stage::with_settings(&["w1"], None, &settings(TENANTS)).go_on(&script);
+    ScenarioRunner::with_settings(&["w1"], None, &settings(TENANTS)).continue_with(&script);
 }
 
 // The header has no meaning there, and must not keep requests out.
@@ -157,7 +157,7 @@
                b send done 2
                c expect 200 2"#
         );
-        Stage::with_settings(&["w1", "w2"], None, &reports).go_on(&script);
+        ScenarioRunner::with_settings(&["w1", "w2"], None, &reports).continue_with(&script);
     }
 }
 
@@ -194,17 +194,18 @@
 #[test]
 fn where_lists_are_pushed_the_agent_is_called_at_once() {
     let pushed = settings(r#""discovery":"automatic","n-instances":10000"#);
-    let mut stage = Stage::with_settings(&["w1", "discovery", "discovery2"], None, &pushed);
-    stage.go_on(
+    let mut runner =
+        ScenarioRunner::with_settings(&["w1", "discovery", "discovery2"], None, &pushed);
+    runner.continue_with(
         r#"discovery wait d
            d expect GET /api/targets?stream=1&index=1
            d send 200
            d send + {"index":2,"snapshot":false,"endpoints":[{"name":"w1","address":"","zone":"z","type":"k","status":"draining"}]}"#,
     );
-    stage.until_listed("w1", "Draining");
+    runner.wait_until_listed("w1", "Draining");
     // The same after a new configuration, and once an agent has closed the connection.
-    stage.reload("discovery2");
-    stage.go_on(
+    runner.reload("discovery2");
+    runner.continue_with(
         r"discovery2 wait e
           e expect GET /api/targets
           e close
--- a/crates/net/tests/dispatcher_discovery.rs
+++ b/crates/net/tests/dispatcher_discovery.rs
@@ -1,24 +1,24 @@
 //! The dispatcher follows the watch of discovery, whatever that sends, on loopback.
 
-use pumiceway_test_support::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 /// A dispatcher that polls discovery at a long interval, so that a slow response is waited for and
 /// no other call is made meanwhile.
-fn stage_with_long_poll_interval(endpoints: &[&str], script: &str) -> Stage {
+fn runner_with_long_poll_interval(endpoints: &[&str], script: &str) -> ScenarioRunner {
     let rules = r#""rules":{"ask-within-us":10000000},"discovery":"subscribe""#;
     let settings = SETTINGS.replacen(r#""rules":{}"#, rules, 1);
-    let mut stage = Stage::with_settings(endpoints, None, &settings);
-    stage.go_on(script);
-    stage
+    let mut runner = ScenarioRunner::with_settings(endpoints, None, &settings);
+    runner.continue_with(script);
+    runner
 }
 
 // A draining endpoint gets no job, and a malformed line does not end the watch for good.
 #[test]
 fn the_watch_is_followed_and_survives_malformed_lines() {
-    stage_with_long_poll_interval(
+    runner_with_long_poll_interval(
         &["w1", "w2", "discovery"],
         r#"discovery wait d
            d expect GET /api/targets?stream=1&index=1
@@ -75,7 +75,7 @@
         let next_call =
             format!("discovery wait e\n e expect GET /api/targets?stream=1&index={index}");
         let first_call = "discovery wait d\n d expect GET /api/targets?stream=1&index=1";
-        stage_with_long_poll_interval(
+        runner_with_long_poll_interval(
             &["w1", "discovery"],
             &format!("{first_call}\n {response}\n {next_call}\n {confirmed}\n {served}"),
         );
@@ -86,7 +86,7 @@
         let first_call =
             "discovery wait d\n d expect GET /api/targets?stream=1&index=1\n d send 200";
         let next_call = "discovery wait e\n e expect GET /api/targets !stream";
-        stage_with_long_poll_interval(
+        runner_with_long_poll_interval(
             &["w1", "discovery"],
             &format!("{first_call}\n {response}\n {next_call}\n {listed}\n {served}"),
         );
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_watch_whose_line_never_ends_is_given_up() {
-    let mut stage = stage_with_long_poll_interval(
+    let mut runner = runner_with_long_poll_interval(
         &["discovery"],
         "discovery wait d
          d expect GET /api/targets?stream=1&index=1
@@ -103,10 +103,10 @@
     );
     let given_up = Arc::new(AtomicBool::new(false));
     let ended = given_up.clone();
-    let trickle = stage.trickle("d", Duration::from_millis(100), move || {
+    let trickle = runner.send_slowly("d", Duration::from_millis(100), move || {
         ended.load(Ordering::Relaxed)
     });
-    stage.go_on("discovery wait e\n e expect GET /api/targets?stream=1&index=1");
+    runner.continue_with("discovery wait e\n e expect GET /api/targets?stream=1&index=1");
     given_up.store(true, Ordering::Relaxed);
     trickle.join().unwrap();
 }
@@ -115,7 +115,7 @@
 // enough.
 #[test]
 fn a_reload_moves_the_watch_once_a_snapshot_was_received() {
-    let mut stage = stage_with_long_poll_interval(
+    let mut runner = runner_with_long_poll_interval(
         &["w1", "w2", "discovery", "discovery2"],
         "discovery wait d
          d expect GET /api/targets?stream=1&index=1
@@ -126,19 +126,19 @@
             r#"{{"name":"{endpoint}","address":"127.0.0.1:{port}","zone":"z","type":"k","status":"{status}"}}"#
         )
     };
-    let w2 = stage.port("w2");
+    let w2 = runner.listener_port("w2");
     // Twice, as signals may arrive close together: only one watch is opened.
-    stage.reload("discovery2");
-    stage.reload("discovery2");
+    runner.reload("discovery2");
+    runner.reload("discovery2");
     let (drains, ready) = (line("w1", 1, "draining"), line("w2", w2, "ready"));
-    stage.go_on(&format!(
+    runner.continue_with(&format!(
         r#"discovery2 wait e
            e expect GET /api/targets !stream
            # The former watch is still in use: its delta makes w1 drain.
            d send + {{"index":2,"snapshot":false,"endpoints":[{drains}]}}"#
     ));
-    stage.until_listed("w1", "Draining");
-    stage.go_on(&format!(
+    runner.wait_until_listed("w1", "Draining");
+    runner.continue_with(&format!(
         r#"e send json {{"index":8,"snapshot":true,"endpoints":[{ready}]}}
            discovery2 wait g
            g expect GET /api/targets?stream=1&index=8
@@ -152,6 +152,6 @@
            g send + {{"index":9,"snapshot":false,"endpoints":[{}]}}"#,
         line("w2", w2, "draining")
     ));
-    stage.until_listed("w1", "Gone");
-    stage.until_listed("w2", "Draining");
+    runner.wait_until_listed("w1", "Gone");
+    runner.wait_until_listed("w2", "Draining");
 }
--- a/crates/net/tests/dispatcher_lifecycle.rs
+++ b/crates/net/tests/dispatcher_lifecycle.rs
@@ -1,6 +1,6 @@
 //! Start and shutdown of the dispatcher, on loopback.
 
-use pumiceway_test_support::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 
 #[test]
 fn a_dispatcher_with_unusual_settings_serves_requests() {
@@ -20,7 +20,7 @@
     ] {
         let settings = SETTINGS.replacen(usual, unusual, 1);
         assert_ne!(settings, SETTINGS);
-        Stage::with_settings(&["w1"], None, &settings).go_on(
+        ScenarioRunner::with_settings(&["w1"], None, &settings).continue_with(
             "c send POST /rate-push/k t1 5000 x
              w1 wait a
              a expect POST /rate-push/k t1
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_dispatcher_that_shuts_down_responds_to_the_requests_it_has_accepted() {
-    let mut stage = Stage::play(
+    let mut runner = ScenarioRunner::run(
         &["w1"],
         "c send POST /booking-import/k t1 5000 x
          i send POST /unknown/k t0 1 x
@@ -40,9 +40,9 @@
          w1 wait a
          a expect POST /booking-import/k t1",
     );
-    stage.stop();
+    runner.request_stop();
     // Clients may still connect, and get a response.
-    stage.go_on(
+    runner.continue_with(
         "d send POST /unknown/k t2 5000 x
          d expect 400
          i expect end
@@ -51,5 +51,5 @@
          c expect 200 3
          c expect end",
     );
-    stage.ended();
+    runner.wait_for_exit();
 }
--- a/crates/net/tests/frontends_under_load.rs
+++ b/crates/net/tests/frontends_under_load.rs
@@ -1,6 +1,6 @@
 //! Many jobs over both frontends, on loopback: all are served, and no import runs twice.
 
-use pumiceway_test_support::{Peer, Stage, gearman_echo};
+use pumiceway_test_support::{Peer, ScenarioRunner, run_gearman_echo_worker};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
@@ -14,12 +14,12 @@
       "lanes":[{"name":"rate-push","aim-us":500000,"deadline-us":10000000,"points":2,"semantics":"read_like"},
         {"name":"booking-import","aim-us":1500000,"deadline-us":20000000,"points":3,
          "semantics":"non_idempotent"}]}"#;
-    let stage = Stage::with_settings(&[], None, MINIMAL_SETTINGS);
+    let runner = ScenarioRunner::with_settings(&[], None, MINIMAL_SETTINGS);
     for _ in 0..4 {
-        let address = stage.gearman;
-        std::thread::spawn(move || gearman_echo(address, Duration::from_millis(1)));
+        let address = runner.gearman;
+        std::thread::spawn(move || run_gearman_echo_worker(address, Duration::from_millis(1)));
     }
-    let mut client = Peer::new(TcpStream::connect(stage.gearman).unwrap());
+    let mut client = Peer::new(TcpStream::connect(runner.gearman).unwrap());
     let submit = |client: &mut Peer, n: u32| {
         let function = ["rate-push", "booking-import"][n as usize % 2];
         client.send(&format!("[SUBMIT_JOB {function}||job {n}]"));
@@ -27,7 +27,7 @@
     (0..50).for_each(|n| submit(&mut client, n));
     let (mut submitted, mut served) = (50, 0);
     while served < 1_000 {
-        let (name, parts) = client.packet().unwrap();
+        let (name, parts) = client.read_packet().unwrap();
         match name.as_str() {
             "JOB_CREATED" => {}
             "WORK_COMPLETE" => {
@@ -44,15 +44,15 @@
 
 /// Submits a job over either protocol, and retries for as long as it gets overload responses.
 /// Returns whether the job was served.
-fn submit_until_ended(stage: &Stage, gearman: bool, id: &str, class: &str) -> bool {
-    let address = if gearman { stage.gearman } else { stage.http };
+fn submit_until_ended(runner: &ScenarioRunner, gearman: bool, id: &str, class: &str) -> bool {
+    let address = if gearman { runner.gearman } else { runner.http };
     let mut client = Peer::new(TcpStream::connect(address).unwrap());
     for retry in 0..400 {
         let (overloaded, served) = if gearman {
             client.send(&format!("[SUBMIT_JOB {class}|{id}|{id}]"));
             let mut overloaded = false;
             loop {
-                match client.packet().unwrap() {
+                match client.read_packet().unwrap() {
                     (name, _) if name == "WORK_COMPLETE" => break (false, true),
                     (name, _) if name == "WORK_FAIL" => break (overloaded, false),
                     (_, parts) => {
@@ -64,7 +64,7 @@
             // As long as the class allows: a shorter time is taken for that of a retry.
             let remaining_ms = if class == "rate-push" { 5000 } else { 6000 };
             client.send(&format!("POST /{class}/k {id}.{retry} {remaining_ms} {id}"));
-            let response = client.message().unwrap();
+            let response = client.read_message().unwrap();
             (
                 response.starts_with("HTTP/1.1 503"),
                 response.starts_with("HTTP/1.1 200"),
@@ -136,7 +136,7 @@
         worker.send("[CAN_DO rate-push]");
         worker.send("[GRAB_JOB]");
         loop {
-            match worker.packet() {
+            match worker.read_packet() {
                 Ok((name, parts)) if name == "JOB_ASSIGN" => {
                     if !run_job(&runs, &parts[2], true) {
                         break;
@@ -158,7 +158,7 @@
         let runs = runs.clone();
         std::thread::spawn(move || {
             let mut worker = Peer::new(stream.unwrap());
-            while let Ok(message) = worker.message() {
+            while let Ok(message) = worker.read_message() {
                 let body = message
                     .split("\r\n\r\n")
                     .nth(1)
@@ -176,17 +176,17 @@
 // Jobs of either protocol run on either kind of worker, whatever disconnects and whoever retries.
 #[test]
 fn both_protocols_get_equal_service_and_no_import_runs_twice() {
-    let mut stage = Stage::new(&["w1", "w2"]);
+    let mut runner = ScenarioRunner::new(&["w1", "w2"]);
     let runs = Arc::<RunCounts>::default();
     for endpoint in ["w1", "w2"] {
-        let (listener, runs) = (stage.take(endpoint), runs.clone());
+        let (listener, runs) = (runner.take_listener(endpoint), runs.clone());
         std::thread::spawn(move || http_endpoint(listener, runs));
     }
     for _ in 0..2 {
-        let (address, runs) = (stage.gearman, runs.clone());
+        let (address, runs) = (runner.gearman, runs.clone());
         std::thread::spawn(move || gearman_worker(address, runs));
     }
-    stage.go_on("g1 send [ECHO_REQ x]\n g1 expect [ECHO_RES x]");
+    runner.continue_with("g1 send [ECHO_REQ x]\n g1 expect [ECHO_RES x]");
     let mut served = [[0; 2]; 2];
     for round in 0..12 {
         let drops = if round % 4 == 3 { "drop" } else { "" };
@@ -203,14 +203,14 @@
                 if gearman != gearman_first && drops.is_empty() {
                     runs.wait_for_started(&round.to_string(), 2);
                 }
-                let (class, stage) = (["rate-push", "booking-import"][n], &stage);
+                let (class, runner) = (["rate-push", "booking-import"][n], &runner);
                 let id = format!("{class}-{round}-{gearman}-{drops}");
                 let job = scope.spawn(move || {
-                    let served = submit_until_ended(stage, gearman, &id, class);
+                    let served = submit_until_ended(runner, gearman, &id, class);
                     // A Gearman client that submits the same unique id again gets the same
                     // response.
                     assert!(
-                        !gearman || submit_until_ended(stage, gearman, &id, class) == served,
+                        !gearman || submit_until_ended(runner, gearman, &id, class) == served,
                         "{id}"
                     );
                     served
--- a/crates/net/tests/gearman_frontend.rs
+++ b/crates/net/tests/gearman_frontend.rs
@@ -1,10 +1,10 @@
 //! The Gearman frontend, for clients and workers, on loopback.
 
-use pumiceway_test_support::Stage;
+use pumiceway_test_support::ScenarioRunner;
 
 #[test]
 fn a_gearman_job_runs_on_an_http_endpoint_and_an_http_job_on_a_gearman_worker() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1"],
         r"g1 send [SUBMIT_JOB booking-import|u 1|payload]
            g1 expect [JOB_CREATED $h]
@@ -13,7 +13,7 @@
            a send done imported
            g1 expect [WORK_COMPLETE $h|imported]",
     );
-    Stage::play(
+    ScenarioRunner::run(
         &[],
         "g2 send [CAN_DO rate-push]
          g2 send [GRAB_JOB]
@@ -32,7 +32,7 @@
 
 #[test]
 fn updates_of_a_job_and_its_status_reach_the_client() {
-    Stage::play(
+    ScenarioRunner::run(
         &[],
         "g2 send [CAN_DO rate-push]
          g2 send [PRE_SLEEP]
@@ -83,18 +83,18 @@
          g4 expect [WORK_FAIL *]
          g3 send [ECHO_REQ still]
          g3 expect [ECHO_RES still]";
-    Stage::play(&[], &(worker_disconnects("booking-import") + import));
+    ScenarioRunner::run(&[], &(worker_disconnects("booking-import") + import));
     let push = "g3 expect [NOOP]
          g3 send [GRAB_JOB]
          g3 expect [JOB_ASSIGN $c|rate-push|x]
          g3 send [WORK_COMPLETE $c|pushed]
          g1 expect [WORK_COMPLETE *|pushed]";
-    Stage::play(&[], &(worker_disconnects("rate-push") + push));
+    ScenarioRunner::run(&[], &(worker_disconnects("rate-push") + push));
 }
 
 #[test]
 fn a_client_that_submits_a_job_again_joins_it_or_gets_the_cached_result() {
-    Stage::play(
+    ScenarioRunner::run(
         &[],
         "g2 send [CAN_DO booking-import]
          g2 send [PRE_SLEEP]
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_worker_leaves_the_endpoint_set_with_its_session() {
-    Stage::play(
+    ScenarioRunner::run(
         &[],
         "g2 send [CAN_DO rate-push]
          g2 send [ECHO_REQ x]
@@ -136,7 +136,7 @@
 // Connections without a whole packet must not use up the permits.
 #[test]
 fn connections_without_a_whole_packet_are_closed_and_waiting_workers_are_not() {
-    Stage::play(
+    ScenarioRunner::run(
         &[],
         r"g1 send [CAN_DO rate-push]
           g1 send [PRE_SLEEP]
@@ -164,13 +164,13 @@
         "[WORK_STATUS h|x|y]",
         "[JOB_CREATED h]",
     ] {
-        Stage::play(
+        ScenarioRunner::run(
             &[],
             &format!("g1 send {packet}\n g1 expect [ERROR MALFORMED|*]\n g1 expect end"),
         );
     }
     // These are well formed: they get an error, and the connection stays open.
-    Stage::play(
+    ScenarioRunner::run(
         &[],
         "g1 send [SUBMIT_JOB other||x]
          g1 expect [ERROR UNKNOWN_FUNCTION|other]
--- a/crates/net/tests/http_attempts.rs
+++ b/crates/net/tests/http_attempts.rs
@@ -1,12 +1,12 @@
 //! Attempts at endpoints over HTTP: retries, hedging, cancellation and malformed responses, on
 //! loopback.
 
-use pumiceway_test_support::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 
 // The connection breaks after the last byte of the request was sent, so the import may have run.
 #[test]
 fn an_import_whose_connection_breaks_fails_and_a_push_is_retried() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1", "w2"],
         "c send POST /booking-import/k i1 5000 x
          w1 wait a
@@ -14,7 +14,7 @@
          a close
          c expect 502",
     );
-    Stage::play(
+    ScenarioRunner::run(
         &["w1", "w2"],
         "c send POST /rate-push/k p1 5000 x
          w1 wait a
@@ -31,7 +31,7 @@
 // other.
 #[test]
 fn an_import_gets_a_new_connection_once_an_idle_one_was_found_dead() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1", "w2"],
         "c send POST /rate-push/k t1 5000 x
          w1 wait a
@@ -56,8 +56,8 @@
 #[test]
 fn a_push_that_does_not_start_is_hedged_and_its_first_attempt_cancelled() {
     let settings = SETTINGS.replacen("\"second-copies\":false", "\"second-copies\":true", 1);
-    let mut stage = Stage::with_settings(&["w1", "w2"], None, &settings);
-    stage.go_on(
+    let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, &settings);
+    runner.continue_with(
         r#"c send POST /rate-push/k t1 5000 x
            w1 wait a
            a expect POST /rate-push/k t1
@@ -75,7 +75,7 @@
 // A rejection by the endpoint proves that the import has not run.
 #[test]
 fn an_import_that_was_rejected_is_sent_to_another_endpoint() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1", "w2"],
         r"c send POST /booking-import/k i1 5000 x
           w1 wait a
@@ -103,14 +103,14 @@
              a send {response}
              c expect 502"
         );
-        Stage::play(&["w1", "w2"], &script);
+        ScenarioRunner::run(&["w1", "w2"], &script);
     }
 }
 
 // hyper alone notices the disconnect only at the next line of the response.
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1"],
         r#"c send POST /rate-push/k t1 5000 x
            w1 wait a
@@ -124,7 +124,7 @@
 
 #[test]
 fn an_attempt_ends_before_the_deadline_of_its_client() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1"],
         "c send POST /booking-import/k t1 1800 x
          w1 wait a
@@ -138,7 +138,7 @@
 #[test]
 fn what_an_endpoint_sends_after_its_last_line_is_ignored() {
     let last_line = r#"a send + {"id":"t1","from":"w1","state":"done","result":"1"}"#;
-    Stage::play(
+    ScenarioRunner::run(
         &["w1"],
         &format!(
             "c send POST /rate-push/k t1 5000 x
--- a/crates/net/tests/http_requests.rs
+++ b/crates/net/tests/http_requests.rs
@@ -1,13 +1,13 @@
 //! HTTP requests of clients, from the request line to the response, on loopback.
 
-use pumiceway_test_support::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
 #[test]
 fn a_request_is_served_by_an_endpoint() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1"],
         "c send POST /rate-push/k7?x=1 t1 5000 prices
          w1 wait a
@@ -24,7 +24,7 @@
 
 #[test]
 fn malformed_requests_reach_no_endpoint() {
-    Stage::play(
+    ScenarioRunner::run(
         &["w1"],
         r"c1 send POST /unknown/k t1 5000 x
           c1 expect 400 class
@@ -94,7 +94,7 @@
                a expect POST /rate-push/k t9
                a send done 1
                d expect 200 1";
-    Stage::play(&["w1"], &script);
+    ScenarioRunner::run(&["w1"], &script);
 }
 
 // Partial requests must not hold connections for long, but a client may pause between two requests;
@@ -102,7 +102,7 @@
 #[test]
 fn the_request_timeout_is_short_and_the_idle_timeout_long() {
     let start = std::time::Instant::now();
-    let mut stage = Stage::play(
+    let mut runner = ScenarioRunner::run(
         &["w1"],
         r"s send raw P
           t send raw POST /rate-push/k HTTP/1.1\r\nX-Txn: t1\r\nX-Remaining-Ms: 5000\r\nContent-Length: 9\r\n\r\nx
@@ -110,7 +110,7 @@
           k send raw GET /-/ready HTTP/1.1\r\n\r\n
           k expect 200",
     );
-    stage.go_on(&format!(
+    runner.continue_with(&format!(
         "u send raw {}\nu expect 413\nu expect end\n",
         "x".repeat(1 << 20)
     ));
@@ -120,7 +120,7 @@
         "{:?}",
         start.elapsed()
     );
-    stage.go_on(
+    runner.continue_with(
         r"s expect 408
           s expect end
           t expect 408
@@ -132,7 +132,7 @@
         "{:?}",
         start.elapsed()
     );
-    stage.go_on(
+    runner.continue_with(
         r"k send raw GET /-/ready HTTP/1.1\r\n\r\n
           k expect 200",
     );
@@ -141,12 +141,12 @@
 #[test]
 fn connections_over_the_limit_get_an_overload_response() {
     let settings = format!(r#"{SETTINGS},"limits":{{"sockets":320}}"#);
-    let stage = Stage::with_settings(&["w1"], None, &settings);
+    let runner = ScenarioRunner::with_settings(&["w1"], None, &settings);
     let partial_request = b"POST /rate-push/k HTTP/1.1\r\nHost: x\r\nX-Txn: t\r\nX-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\nx";
     // More than there are permits: 65 to be served, and 14 spare ones.
     let clients: Vec<_> = (0..160)
         .map(|_| {
-            let mut client = TcpStream::connect(stage.http).unwrap();
+            let mut client = TcpStream::connect(runner.http).unwrap();
             client.write_all(partial_request).unwrap();
             client
         })
@@ -172,8 +172,8 @@
 #[test]
 fn a_fully_loaded_fleet_gives_overload_responses() {
     let settings = SETTINGS.replacen("\"deadline-us\"", "\"wait-us\":300000,\"deadline-us\"", 1);
-    let mut stage = Stage::with_settings(&["w1"], None, &settings);
-    stage.go_on(
+    let mut runner = ScenarioRunner::with_settings(&["w1"], None, &settings);
+    runner.continue_with(
         "c send POST /rate-push/k t1 5000 x
          w1 wait a
          a expect POST /rate-push/k t1
--- a/crates/net/tests/repeats.rs
+++ b/crates/net/tests/repeats.rs
@@ -3,7 +3,7 @@
 use pumiceway_decisions::settings::DeploymentSettings;
 use pumiceway_net::config::SocketBudget;
 use pumiceway_net::upstream::PoolSettings;
-use pumiceway_test_support::Stage;
+use pumiceway_test_support::ScenarioRunner;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Mutex;
@@ -33,23 +33,23 @@
 fn repeat_that_might_arrive_after_the_deduplication_window_is_not_sent() {
     // Early in the window it is sent: this one is so long that it is early on a slow machine, too.
     let long_window = SETTINGS.replace("\"window-us\":800000", "\"window-us\":20000000");
-    let mut stage = Stage::with_settings(&["w1", "w2"], None, &long_window);
-    stage.go_on(&format!(
+    let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, &long_window);
+    runner.continue_with(&format!(
         "c send {}\n w1 wait a\n a expect POST /put/k x-txn:\\x20t1",
         put("t1")
     ));
     std::thread::sleep(Duration::from_millis(500));
-    stage.go_on(
+    runner.continue_with(
         "a close\n w2 wait b\n b expect POST /put/k x-txn:\\x20t1\n b send done 1\n c expect 200 1",
     );
-    let mut stage = Stage::with_settings(&["w1", "w2"], None, SETTINGS);
-    stage.go_on(&format!(
+    let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, SETTINGS);
+    runner.continue_with(&format!(
         "c send {}\n w1 wait a\n a expect POST /put/k x-txn:\\x20t2",
         put("t2")
     ));
     std::thread::sleep(Duration::from_millis(500));
     // Its client may try again, and the next request at w2 is that of another client.
-    stage.go_on(&format!(
+    runner.continue_with(&format!(
         "a close\n c expect 503 retry-after\n d send {}\n w2 wait b\n b expect POST /put/k x-txn:\\x20t3
          b send done 3\n d expect 200 3",
         put("t3")
@@ -104,8 +104,8 @@
 #[test]
 fn same_request_on_a_second_connection_gets_the_response_to_the_first() {
     for disconnects in [false, true] {
-        let mut stage = Stage::with_settings(&["w1", "w2"], None, SETTINGS);
-        stage.go_on(&format!(
+        let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, SETTINGS);
+        runner.continue_with(&format!(
             "c send {}\n w1 wait a\n a expect POST /pay/k t1\n d send {}
              e send {}\n w2 wait b\n b expect POST /pay/k t2",
             pay("t1"),
@@ -113,11 +113,11 @@
             pay("t2")
         ));
         if disconnects {
-            stage.go_on("c close");
+            runner.continue_with("c close");
         }
-        stage.go_on("a send done 1\n d expect 200 1\n b send done 2\n e expect 200 2");
+        runner.continue_with("a send done 1\n d expect 200 1\n b send done 2\n e expect 200 2");
         if !disconnects {
-            stage.go_on("c expect 200 1");
+            runner.continue_with("c expect 200 1");
         }
     }
 }
@@ -127,9 +127,9 @@
 #[test]
 fn request_that_comes_again_after_its_abort_runs_only_if_idempotent() {
     for (path, is_idempotent) in [("pay", false), ("look", true)] {
-        let mut stage = Stage::with_settings(&["w1", "w2"], None, SETTINGS);
+        let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, SETTINGS);
         let send = |id: &str| format!("POST /{path}/k {id} 2900 x");
-        stage.go_on(&format!(
+        runner.continue_with(&format!(
             "c send {}\n w1 wait a\n a expect POST /{path}/k t1\n c close\n a expect end\n d send {}",
             send("t1"),
             send("t1")
@@ -137,10 +137,10 @@
         let id = if is_idempotent {
             "t1"
         } else {
-            stage.go_on(&format!("d expect 502\n d send {}", send("t2")));
+            runner.continue_with(&format!("d expect 502\n d send {}", send("t2")));
             "t2"
         };
-        stage.go_on(&format!(
+        runner.continue_with(&format!(
             "w1 wait b\n b expect POST /{path}/k {id}\n b send done 1\n d expect 200 1"
         ));
     }
@@ -152,14 +152,14 @@
 fn request_that_finds_no_endpoint_during_shutdown_is_shed_with_retry_after() {
     // The longest deadline that a shutdown waits for: the frontend closes 2 s after it began, and
     // the test may be late by most of that.
-    let mut stage = Stage::with_settings(&[], None, SETTINGS);
-    stage.stop();
+    let mut runner = ScenarioRunner::with_settings(&[], None, SETTINGS);
+    runner.request_stop();
     std::thread::sleep(Duration::from_millis(700));
-    stage.go_on(
+    runner.continue_with(
         "c send POST /pay/k t1 3000 x\n d send POST /look/k t2 3000 x
          c expect 503 retry-after\n d expect 503 retry-after\n c close\n d close",
     );
-    stage.ended();
+    runner.wait_for_exit();
 }
 
 /// A listener whose queue is full, and the connections that fill it: another one comes up a second
@@ -236,7 +236,7 @@
                     "\"rules\":{{\"drain-grace-us\":{drain_grace_us}}},\"discovery\":\"subscribe\""
                 ),
             );
-        let mut stage = Stage::with_settings(&["discovery"], None, &settings);
+        let mut runner = ScenarioRunner::with_settings(&["discovery"], None, &settings);
         let (listener, queue) = full_listener();
         let port = listener.local_addr().unwrap().port();
         let list = |version, status| {
@@ -245,12 +245,12 @@
                 version == 2
             )
         };
-        stage.go_on(&format!(
+        runner.continue_with(&format!(
             "discovery wait d\n d expect GET /api/targets\n d send 200\n {}",
             list(2, "ready")
         ));
-        stage.until_listed("w9", "Ready");
-        stage.go_on("c send POST /look/k t1 2900 x");
+        runner.wait_until_listed("w9", "Ready");
+        runner.continue_with("c send POST /look/k t1 2900 x");
         let start = Instant::now();
         let address = format!("127.0.0.1:{port}");
         while !ATTEMPT_ADDRESSES.lock().unwrap().contains(&address) {
@@ -261,8 +261,8 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         // Once the event loop has handled the next list, the connection is coming up.
-        stage.go_on(&list(3, "draining"));
-        stage.until_listed("w9", "Draining");
+        runner.continue_with(&list(3, "draining"));
+        runner.wait_until_listed("w9", "Draining");
         drop(queue);
         // A connection that comes up within the grace may be used; the kernel tries again after a
         // second.
--- a/crates/net/tests/watch_log.rs
+++ b/crates/net/tests/watch_log.rs
@@ -86,7 +86,7 @@
         });
         let mut watch = discovery.accept().unwrap().0;
         let mut peer = Peer::new(watch.try_clone().unwrap());
-        peer.message().unwrap();
+        peer.read_message().unwrap();
         peer.send("200");
         // The dispatcher may close the connection before all is written.
         let _ = write!(watch, "{:x}\r\n{sent}\n\r\n", sent.len() + 1);
--- a/crates/net/tests/watches/calls.rs
+++ b/crates/net/tests/watches/calls.rs
@@ -3,7 +3,7 @@
 use crate::support::{Call, SOON, next_call, run_with_draws, settings, watcher};
 use pumiceway_core::{EndpointListUpdate, EndpointSource};
 use pumiceway_decisions::rules::LeaseSignal;
-use pumiceway_test_support::{Stage, endpoint_line as line, listing};
+use pumiceway_test_support::{ScenarioRunner, endpoint_line as line, listing};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
@@ -20,13 +20,13 @@
 ];
 
 /// Runs this in all of the deployments at once.
-fn in_all_deployments(test: fn(Deployment, Stage, TcpListener)) {
+fn in_all_deployments(test: fn(Deployment, ScenarioRunner, TcpListener)) {
     let tests = DEPLOYMENTS.map(|deployment| {
         std::thread::spawn(move || {
             let settings = settings(deployment.0, deployment.1, deployment.2);
-            let mut stage = Stage::with_settings(&["w1", "discovery"], None, &settings);
-            let discovery = stage.take("discovery");
-            test(deployment, stage, discovery);
+            let mut runner = ScenarioRunner::with_settings(&["w1", "discovery"], None, &settings);
+            let discovery = runner.take_listener("discovery");
+            test(deployment, runner, discovery);
         })
     });
     for test in tests {
@@ -40,19 +40,19 @@
 fn a_watch_that_falls_silent_is_opened_again_and_receives_what_it_missed() {
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            in_all_deployments(|deployment, stage, discovery| {
-                watch_falls_silent(deployment, stage, discovery, "");
+            in_all_deployments(|deployment, runner, discovery| {
+                watch_falls_silent(deployment, runner, discovery, "");
             });
         });
-        in_all_deployments(|deployment, stage, discovery| {
-            watch_falls_silent(deployment, stage, discovery, "raw 1\\r\\n\\n\\r\\n");
+        in_all_deployments(|deployment, runner, discovery| {
+            watch_falls_silent(deployment, runner, discovery, "raw 1\\r\\n\\n\\r\\n");
         });
     });
 }
 
 fn watch_falls_silent(
     deployment: Deployment,
-    mut stage: Stage,
+    mut runner: ScenarioRunner,
     discovery: TcpListener,
     last_sent: &str,
 ) {
@@ -86,7 +86,7 @@
     let mut calls = calls.join().unwrap();
     assert!(!calls.is_empty(), "{deployment:?}: no further call comes");
     assert!(!watch.is_open(), "{deployment:?}: the silent watch is kept");
-    stage.until_listed("w1", "Draining");
+    runner.wait_until_listed("w1", "Draining");
     assert!(calls.iter_mut().any(Call::is_open));
 }
 
@@ -96,12 +96,12 @@
 #[test]
 fn an_agent_that_left_a_call_unanswered_is_called_beside_it() {
     for answered in [0, 1] {
-        let mut stage = Stage::with_settings(
+        let mut runner = ScenarioRunner::with_settings(
             &["w1", "discovery"],
             None,
             &settings("automatic", 10_000, 300),
         );
-        let discovery = stage.take("discovery");
+        let discovery = runner.take_listener("discovery");
         let drained = format!("+ {}", listing(2, false, &[line("w1", 1, "draining")]));
         // Each time but the last the test may be suspended until both are over.
         let was_received = (0..9).any(|_| {
@@ -118,7 +118,7 @@
             was_received,
             "the first call was over before the second came, each time"
         );
-        stage.until_listed("w1", "Draining");
+        runner.wait_until_listed("w1", "Draining");
     }
 }
 
--- a/crates/net/tests/watches/drains.rs
+++ b/crates/net/tests/watches/drains.rs
@@ -1,7 +1,7 @@
 //! Drains that fall between two watches.
 
 use crate::support::{Call, SOON, chunk, next_call, settings};
-use pumiceway_test_support::{Peer, Stage, endpoint_line as line, listing, serve_each};
+use pumiceway_test_support::{Peer, ScenarioRunner, endpoint_line as line, listing, serve_each};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
     let received = received.clone();
     listener.set_nonblocking(false).unwrap();
     serve_each(listener, move |mut peer| {
-        while peer.message().is_ok() {
+        while peer.read_message().is_ok() {
             received.lock().unwrap().push((name, Instant::now()));
             peer.send("done yes");
         }
@@ -77,11 +77,12 @@
     let case = format!("{discovery}, {reset_point:?}, {resets} resets, snapshot {snapshot}");
     let is_pushed = discovery == "automatic";
     let settings = settings(discovery, 10_000, 1);
-    let mut stage = Stage::with_settings(&["w1", "w2", "w3", "discovery"], None, &settings);
-    let (discovery, received) = (stage.take("discovery"), Received::default());
+    let mut runner =
+        ScenarioRunner::with_settings(&["w1", "w2", "w3", "discovery"], None, &settings);
+    let (discovery, received) = (runner.take_listener("discovery"), Received::default());
     let ports = ["w1", "w2"].map(|endpoint| {
-        let port = stage.port(endpoint);
-        serve_endpoint(endpoint, stage.take(endpoint), &received);
+        let port = runner.listener_port(endpoint);
+        serve_endpoint(endpoint, runner.take_listener(endpoint), &received);
         port
     });
     let lines = move |w1: &str| [line("w1", ports[0], w1), line("w2", ports[1], "ready")];
@@ -94,14 +95,14 @@
     let mut first = next_call(&discovery, SOON).unwrap();
     first.peer.send("200");
     first.peer.send(&format!("+ {}", listing(1, false, &[])));
-    let (mut sent, mut client) = (0, Peer::new(TcpStream::connect(stage.http).unwrap()));
+    let (mut sent, mut client) = (0, Peer::new(TcpStream::connect(runner.http).unwrap()));
     // Where lists are pushed, what the agent has counts once its watch has ended: until the next
     // one confirms the list, a request may be shed, but not sent.
     let mut request = |may_be_shed: bool| {
         sent += 1;
         client.send(&format!("POST /rate-push/k t{sent} 5000 x"));
         let response = client
-            .message()
+            .read_message()
             .unwrap_or_else(|error| panic!("{case}: {error}"));
         let is_shed = may_be_shed && is_pushed && response.starts_with("HTTP/1.1 503");
         assert!(
@@ -132,7 +133,7 @@
                 "+ {}",
                 listing(2, false, &[line("w3", 1, "gone")])
             ));
-            stage.until_listed("w3", "Gone");
+            runner.wait_until_listed("w3", "Gone");
         }
     }
     if reset_point == ResetPoint::PartialMessage {
@@ -206,7 +207,7 @@
             .is_some_and(|(first_request, ..)| first_request.starts_with(path)),
         "{case}: the next call is not {path}"
     );
-    stage.until_listed("w1", "Draining");
+    runner.wait_until_listed("w1", "Draining");
     let received = received.lock().unwrap();
     let received_late = |name| {
         received
--- a/crates/net/tests/watches/messages.rs
+++ b/crates/net/tests/watches/messages.rs
@@ -1,7 +1,7 @@
 //! What a watch or a call for the list sends, well formed or not.
 
 use crate::support::{
-    SOON, WATCH_OPENED, chunk, indented, next_call, polling_stage, run_with_draws, watcher,
+    SOON, WATCH_OPENED, chunk, indented, next_call, polling_runner, run_with_draws, watcher,
 };
 use pumiceway_core::EndpointListUpdate;
 use pumiceway_decisions::rules::LeaseSignal;
@@ -23,8 +23,8 @@
     let (half, rest) = first.split_at(first.find("draining").unwrap() + 3);
     // Brackets and quotes within a string do not count.
     let odd = line(r#"x\"}]{["#, 1, "ready");
-    let mut stage = polling_stage(&["w1", "w2", "w3", "discovery"]);
-    stage.go_on(&format!(
+    let mut runner = polling_runner(&["w1", "w2", "w3", "discovery"]);
+    runner.continue_with(&format!(
         "{WATCH_OPENED}
          d send {}
          d send {}
@@ -40,9 +40,9 @@
         chunk(&listing(5, false, &[w3])),
     ));
     for endpoint in ["w1", "w2", "w3"] {
-        stage.until_listed(endpoint, "Draining");
+        runner.wait_until_listed(endpoint, "Draining");
     }
-    stage.go_on("d close\n discovery wait e\n e expect GET /api/targets?stream=1&index=5");
+    runner.continue_with("d close\n discovery wait e\n e expect GET /api/targets?stream=1&index=5");
 }
 
 // With nothing behind the half message, with blanks, or with the heartbeats of a discovery that has
@@ -52,8 +52,8 @@
     let half = indented(&listing(2, false, &[line("w1", 1, "draining")]));
     let half = chunk(half.split_at(half.find("\"status\"").unwrap()).0);
     for filler in ["", " ", "\\n"] {
-        let mut stage = polling_stage(&["discovery"]);
-        let discovery = stage.take("discovery");
+        let mut runner = polling_runner(&["discovery"]);
+        let discovery = runner.take_listener("discovery");
         let mut call = next_call(&discovery, SOON).unwrap();
         call.peer.send("200");
         call.peer.send(&half);
@@ -127,8 +127,8 @@
         &[line("w1", 1, "ready"), line("w1", 1, "draining")],
     );
     for sent in [trickling, &huge, &format!("{valid}]"), "{}"] {
-        let mut stage = polling_stage(&["w1", "discovery"]);
-        let discovery = stage.take("discovery");
+        let mut runner = polling_runner(&["w1", "discovery"]);
+        let discovery = runner.take_listener("discovery");
         let mut watch = next_call(&discovery, SOON).unwrap();
         watch.peer.send("200");
         watch.peer.send("+ nonsense");
@@ -152,7 +152,7 @@
             list.peer.send("raw 1\\r\\n \\r\\n");
         };
         assert!(!list.is_open(), "the call is kept");
-        stage.until_listed("w1", "Ready");
+        runner.wait_until_listed("w1", "Ready");
         let path = if sent.is_empty() {
             "GET /api/targets?stream=1&index=1 "
         } else {
@@ -161,7 +161,7 @@
         assert!(next.request.starts_with(path), "{}", next.request);
         next.peer.send(&format!("json {valid}"));
         if !sent.is_empty() {
-            stage.until_listed("w1", "Draining");
+            runner.wait_until_listed("w1", "Draining");
         }
     }
 }
--- a/crates/net/tests/watches/moves.rs
+++ b/crates/net/tests/watches/moves.rs
@@ -1,6 +1,6 @@
 //! New configurations that move discovery to another address.
 
-use crate::support::{WATCH_OPENED, polling_stage};
+use crate::support::{WATCH_OPENED, polling_runner};
 use pumiceway_test_support::{endpoint_line as line, listing};
 
 // Also where its first list is a delta, or its first calls are answered with 503, late or not at
@@ -10,25 +10,25 @@
     let unavailable =
         "e send raw HTTP/1.1 503 Service Unavailable\\r\\nContent-Length: 0\\r\\n\\r\\n";
     for first in ["", "e close", unavailable] {
-        let mut stage = polling_stage(&["w1", "discovery", "discovery2"]);
-        stage.go_on(WATCH_OPENED);
-        stage.reload("discovery2");
-        stage.go_on("discovery2 wait e\n e expect GET /api/targets");
+        let mut runner = polling_runner(&["w1", "discovery", "discovery2"]);
+        runner.continue_with(WATCH_OPENED);
+        runner.reload("discovery2");
+        runner.continue_with("discovery2 wait e\n e expect GET /api/targets");
         // The watch at the old address ends meanwhile, and is opened again.
-        stage.go_on(
+        runner.continue_with(
             "d close\n discovery wait d\n d expect GET /api/targets?stream=1&index=1\n d send 200",
         );
         if !first.is_empty() {
-            stage.go_on(&format!(
+            runner.continue_with(&format!(
                 "{first}\n discovery2 wait e\n e expect GET /api/targets !stream"
             ));
         }
-        stage.go_on(&format!(
+        runner.continue_with(&format!(
             "d send + {}",
             listing(2, false, &[line("w2", 1, "ready")])
         ));
-        stage.until_listed("w2", "Ready");
-        stage.go_on(&format!(
+        runner.wait_until_listed("w2", "Ready");
+        runner.continue_with(&format!(
             "e send json {}
              discovery2 wait g
              g expect GET /api/targets?stream=1&index=0
@@ -39,7 +39,7 @@
             listing(1, false, &[line("w1", 1, "draining")]),
         ));
         for (endpoint, state) in [("w1", "Draining"), ("w2", "Ready"), ("w3", "Ready")] {
-            stage.until_listed(endpoint, state);
+            runner.wait_until_listed(endpoint, state);
         }
     }
 }
@@ -48,12 +48,12 @@
 #[test]
 fn of_two_moves_in_a_row_the_last_one_counts_even_if_it_is_a_move_back() {
     for last in ["discovery", "discovery3"] {
-        let mut stage = polling_stage(&["w1", "discovery", "discovery2", "discovery3"]);
-        stage.go_on(WATCH_OPENED);
-        stage.reload("discovery2");
-        stage.go_on("discovery2 wait e\n e expect GET /api/targets");
-        stage.reload(last);
-        stage.go_on(&format!(
+        let mut runner = polling_runner(&["w1", "discovery", "discovery2", "discovery3"]);
+        runner.continue_with(WATCH_OPENED);
+        runner.reload("discovery2");
+        runner.continue_with("discovery2 wait e\n e expect GET /api/targets");
+        runner.reload(last);
+        runner.continue_with(&format!(
             "{last} wait f
              f expect GET /api/targets
              # The watch of the address between is given up.
@@ -68,7 +68,7 @@
             listing(1, false, &[line("w3", 1, "ready")]),
         ));
         for (endpoint, state) in [("w1", "Gone"), ("w2", "Ready"), ("w3", "Ready")] {
-            stage.until_listed(endpoint, state);
+            runner.wait_until_listed(endpoint, state);
         }
     }
 }
--- a/crates/net/tests/watches/support.rs
+++ b/crates/net/tests/watches/support.rs
@@ -2,7 +2,7 @@
 
 use pumiceway_decisions::settings::DeploymentSettings;
 use pumiceway_net::discovery::{DiscoveryWatcher, SourceUpdate};
-use pumiceway_test_support::{Peer, SETTINGS, Stage};
+use pumiceway_test_support::{Peer, SETTINGS, ScenarioRunner};
 use std::io::{ErrorKind, Read};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -56,7 +56,7 @@
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
             let mut peer = Peer::new(stream.try_clone().unwrap());
-            let message = peer.message().unwrap();
+            let message = peer.read_message().unwrap();
             let request = message.lines().next().unwrap_or_default().to_owned();
             return Some(Call {
                 peer,
@@ -83,8 +83,8 @@
 }
 
 /// A dispatcher that polls discovery: it waits for a call that the test is slow to answer.
-pub fn polling_stage(listeners: &[&str]) -> Stage {
-    Stage::with_settings(listeners, None, &settings("subscribe", 10_000, 1))
+pub fn polling_runner(listeners: &[&str]) -> ScenarioRunner {
+    ScenarioRunner::with_settings(listeners, None, &settings("subscribe", 10_000, 1))
 }
 
 /// A watcher from version 1 of a service that this many dispatchers poll, and its updates.
--- a/crates/net/tests/watches/versions.rs
+++ b/crates/net/tests/watches/versions.rs
@@ -1,6 +1,6 @@
 //! Lists whose versions are lower than those before.
 
-use crate::support::{SOON, WATCH_OPENED, next_call, polling_stage, run_with_draws, watcher};
+use crate::support::{SOON, WATCH_OPENED, next_call, polling_runner, run_with_draws, watcher};
 use pumiceway_core::EndpointListUpdate;
 use pumiceway_test_support::{endpoint_line as line, listing};
 use std::net::TcpListener;
@@ -8,9 +8,9 @@
 
 #[test]
 fn neither_an_older_list_nor_a_delta_to_it_takes_a_drain_back() {
-    let mut stage = polling_stage(&["w1", "w2", "discovery"]);
+    let mut runner = polling_runner(&["w1", "w2", "discovery"]);
     let ready = |endpoint: &str| line(endpoint, 1, "ready");
-    stage.go_on(&format!(
+    runner.continue_with(&format!(
         "{WATCH_OPENED}
          d send + {}
          d close
@@ -21,10 +21,10 @@
         listing(9, false, &[line("w1", 1, "draining")]),
         listing(3, true, &[ready("w1"), ready("w2"), ready("w3")]),
     ));
-    stage.until_listed("w3", "Ready");
-    stage.until_listed("w1", "Draining");
+    runner.wait_until_listed("w3", "Ready");
+    runner.wait_until_listed("w1", "Draining");
     // The same once more, from a watch that begins at that version.
-    stage.go_on(&format!(
+    runner.continue_with(&format!(
         "e close
          discovery wait f
          f expect GET /api/targets?stream=1&index=3
@@ -32,16 +32,16 @@
          f send + {}",
         listing(3, true, &[ready("w1"), ready("w2"), ready("w4")]),
     ));
-    stage.until_listed("w4", "Ready");
-    stage.until_listed("w1", "Draining");
+    runner.wait_until_listed("w4", "Ready");
+    runner.wait_until_listed("w1", "Draining");
     // A service that lags behind itself sends such a delta until it has caught up: it is still
     // behind the version that drained the endpoint.
-    stage.go_on(&format!(
+    runner.continue_with(&format!(
         "f send + {}",
         listing(4, false, &[ready("w1"), ready("w5")])
     ));
-    stage.until_listed("w5", "Ready");
-    stage.until_listed("w1", "Draining");
+    runner.wait_until_listed("w5", "Ready");
+    runner.wait_until_listed("w1", "Draining");
 }
 
 // A discovery that has restarted its versions must not count as one that lags behind for ever, nor
--- a/crates/net/tests/zookeeper.rs
+++ b/crates/net/tests/zookeeper.rs
@@ -2,7 +2,7 @@
 //! protocol.
 
 use pumiceway_net::config::ZooKeeperConfig;
-use pumiceway_test_support::{Peer, Stage};
+use pumiceway_test_support::{Peer, ScenarioRunner};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -202,11 +202,11 @@
 }
 
 /// Waits until the endpoint list of the console has this line.
-fn wait_until_listed(stage: &Stage, line: &str) {
+fn wait_until_listed(runner: &ScenarioRunner, line: &str) {
     for _ in 0..400 {
-        let mut console = Peer::new(TcpStream::connect(stage.gearman).unwrap());
+        let mut console = Peer::new(TcpStream::connect(runner.gearman).unwrap());
         console.send(r"raw routes\n");
-        if console.text_to(".\n").contains(line) {
+        if console.read_until(".\n").contains(line) {
             return;
         }
         std::thread::sleep(Duration::from_millis(10));
@@ -215,8 +215,8 @@
 }
 
 /// A client's request is served by this endpoint.
-fn expect_served(stage: &mut Stage, endpoint: &str, id: &str) {
-    stage.go_on(&format!(
+fn expect_served(runner: &mut ScenarioRunner, endpoint: &str, id: &str) {
+    runner.continue_with(&format!(
         "c send POST /rate-push/k {id} 5000 x
          {endpoint} wait {endpoint}{id}
          {endpoint}{id} expect POST /rate-push/k {id}
@@ -226,20 +226,20 @@
 }
 
 /// A dispatcher that discovery has sent these endpoints, and that follows this ensemble.
-fn stage(endpoints: &[&str], ensemble: &Ensemble, session_timeout: Duration) -> Stage {
+fn runner(endpoints: &[&str], ensemble: &Ensemble, session_timeout: Duration) -> ScenarioRunner {
     let config = ZooKeeperConfig {
         servers: ensemble.start(),
         path: PATH.to_owned(),
         session_timeout,
     };
-    Stage::with(endpoints, Some(config))
+    ScenarioRunner::with_zookeeper(endpoints, Some(config))
 }
 
-/// An endpoint `z1` of the stage, which registers the node `aa`.
-fn register(stage: &mut Stage, ensemble: &Ensemble) {
+/// An endpoint `z1` of the runner, which registers the node `aa`.
+fn register(runner: &mut ScenarioRunner, ensemble: &Ensemble) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    stage.add("z1", listener);
+    runner.add_listener("z1", listener);
     let data = format!(r#"{{"address":"{address}","zone":"z","type":"k"}}"#);
     ensemble.set("aa", Some(data));
 }
@@ -248,17 +248,17 @@
 #[test]
 fn an_ephemeral_node_is_an_endpoint_for_as_long_as_it_exists() {
     let ensemble = Ensemble::default();
-    let mut stage = stage(&["w1", "w2"], &ensemble, Duration::from_secs(6));
+    let mut runner = runner(&["w1", "w2"], &ensemble, Duration::from_secs(6));
     // The endpoints of discovery are another source's, and stay.
-    register(&mut stage, &ensemble);
+    register(&mut runner, &ensemble);
     ensemble.set("bad", Some("nonsense".to_owned()));
-    wait_until_listed(&stage, "aa\tReady");
-    wait_until_listed(&stage, "w1\tReady");
-    expect_served(&mut stage, "z1", "t1");
+    wait_until_listed(&runner, "aa\tReady");
+    wait_until_listed(&runner, "w1\tReady");
+    expect_served(&mut runner, "z1", "t1");
     ensemble.drop_sessions();
     ensemble.set("aa", None);
-    wait_until_listed(&stage, "aa\tGone");
-    expect_served(&mut stage, "w1", "t2");
+    wait_until_listed(&runner, "aa\tGone");
+    expect_served(&mut runner, "w1", "t2");
 }
 
 // The last list of an ensemble that is silent must not be used without end.
@@ -266,13 +266,13 @@
 fn a_node_is_used_only_while_the_ensemble_responds() {
     let ensemble = Ensemble::default();
     // Longer than the lease of the list: the session itself does not end before that.
-    let mut stage = stage(&["w1"], &ensemble, Duration::from_secs(60));
-    register(&mut stage, &ensemble);
-    wait_until_listed(&stage, "aa\tReady");
+    let mut runner = runner(&["w1"], &ensemble, Duration::from_secs(60));
+    register(&mut runner, &ensemble);
+    wait_until_listed(&runner, "aa\tReady");
     // Longer than the lease of a list that is not confirmed.
     std::thread::sleep(LONGER_THAN_LEASE);
-    expect_served(&mut stage, "z1", "t1");
+    expect_served(&mut runner, "z1", "t1");
     ensemble.0.lock().unwrap().is_silent = true;
     std::thread::sleep(LONGER_THAN_LEASE);
-    expect_served(&mut stage, "w1", "t2");
+    expect_served(&mut runner, "w1", "t2");
 }
--- a/crates/pumiceway/tests/command.rs
+++ b/crates/pumiceway/tests/command.rs
@@ -1,6 +1,6 @@
 //! The program from its command line: configuration errors, the console, and a stop by signal.
 
-use pumiceway_test_support::{SETTINGS, Stage};
+use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 use std::io::{BufRead, BufReader, Lines, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -100,13 +100,13 @@
 
 #[test]
 fn the_console_shows_functions_endpoints_and_workers() {
-    let mut stage = Stage::play(
+    let mut runner = ScenarioRunner::run(
         &["w1"],
         "g2 send [CAN_DO rate-push]
          g2 send [ECHO_REQ x]
          g2 expect [ECHO_RES x]",
     );
-    let address = stage.gearman.to_string();
+    let address = runner.gearman.to_string();
     let console = |command: &str| {
         let out = pumiceway(
             &["console", "--address", &address, "--command", command],
@@ -129,8 +129,8 @@
     assert!(console("routes").contains("w1") && console("routes").contains("gearman:0000"));
     assert!(console("workers").contains(": rate-push"));
     assert_eq!(console("version").trim(), env!("CARGO_PKG_VERSION"));
-    stage.stop();
-    stage.ended();
+    runner.request_stop();
+    runner.wait_for_exit();
 }
 
 /// A process that runs for longer is killed, so that no test waits for it for ever.
@@ -241,7 +241,7 @@
     let mut child = serve(&config, &[]);
     // Discovery confirms the list, and is silent from then on.
     let mut watch = pumiceway_test_support::Peer::new(discovery.accept().unwrap().0);
-    watch.message().unwrap();
+    watch.read_message().unwrap();
     watch.send("200");
     watch.send(r#"+ {"index":1,"snapshot":false,"endpoints":[]}"#);
     let mut log = log_lines(&mut child);
--- a/crates/pumiceway/tests/common/mod.rs
+++ b/crates/pumiceway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! discovery.
 #![allow(dead_code)] // no test file uses all of it
 
-use pumiceway_test_support::processes::{Lists, field, serve};
+use pumiceway_test_support::processes::{ListDelivery, field, serve};
 use pumiceway_test_support::{Peer, serve_each};
 use std::ffi::OsStr;
 use std::net::{TcpListener, TcpStream};
@@ -78,7 +78,7 @@
         loop {
             let mut peer = Peer::new(TcpStream::connect(&self.gearman).unwrap());
             peer.send("raw status\\n");
-            let status = peer.text_to(".\n");
+            let status = peer.read_until(".\n");
             if status.contains(&row) {
                 return;
             }
@@ -101,7 +101,7 @@
     let port = listener.local_addr().unwrap().port();
     let (report, requests) = channel();
     serve_each(listener, move |mut peer| {
-        while let Ok(request) = peer.message() {
+        while let Ok(request) = peer.read_message() {
             let _ = report.send(request);
             peer.send("done yes");
         }
@@ -112,7 +112,7 @@
 /// The next call to discovery, without a response yet.
 pub fn accept_call(discovery: &TcpListener) -> Peer {
     let mut peer = Peer::new(discovery.accept().unwrap().0);
-    let request = peer.message().unwrap();
+    let request = peer.read_message().unwrap();
     assert!(request.starts_with("GET /api/targets"), "{request}");
     peer
 }
@@ -124,7 +124,12 @@
 }
 
 impl Files {
-    pub fn write(name: &str, lists: Lists, discovery: &TcpListener, bootstrap_list: &str) -> Files {
+    pub fn write(
+        name: &str,
+        lists: ListDelivery,
+        discovery: &TcpListener,
+        bootstrap_list: &str,
+    ) -> Files {
         let file = |suffix: &str, text: String| {
             let name = format!("pumiceway-{}-{name}-{lists:?}.{suffix}", std::process::id());
             let path = std::env::temp_dir().join(name);
--- a/crates/pumiceway/tests/failed_calls.rs
+++ b/crates/pumiceway/tests/failed_calls.rs
@@ -23,7 +23,7 @@
 mod common;
 
 use common::{Files, Process, accept_call, worker};
-use pumiceway_test_support::processes::Lists;
+use pumiceway_test_support::processes::ListDelivery;
 use pumiceway_test_support::{Peer, endpoint_line, listing};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -108,7 +108,7 @@
         call.send(&format!("+ {list}"));
     }
     std::thread::spawn(move || {
-        while !call.closed() {
+        while !call.is_closed() {
             std::thread::sleep(Duration::from_millis(1_200));
             call.send(HEARTBEAT);
         }
@@ -119,7 +119,7 @@
 fn is_sent(process: &Process, requests: &Receiver<String>, id: &str, remaining_ms: u64) -> bool {
     let mut client = Peer::new(TcpStream::connect(&process.http).unwrap());
     client.send(&format!("POST /rate-push/k {id} {remaining_ms} x"));
-    let response = client.message().unwrap();
+    let response = client.read_message().unwrap();
     let sent = requests
         .try_iter()
         .any(|request| request.contains(&format!("x-txn: {id}")));
@@ -128,7 +128,7 @@
 }
 
 /// Plays one failure; returns a message for each request that was sent without a lease.
-fn play(lists: Lists, failure: Failure) -> Vec<String> {
+fn play(lists: ListDelivery, failure: Failure) -> Vec<String> {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let (port, requests) = worker();
     let bootstrap_list = listing(1, true, &[endpoint_line("w", port, "ready")]);
@@ -184,7 +184,7 @@
 
 #[test]
 fn a_failed_call_does_not_renew_the_lease() {
-    let plays: Vec<_> = [Lists::Asked, Lists::Pushed]
+    let plays: Vec<_> = [ListDelivery::Polled, ListDelivery::Pushed]
         .into_iter()
         .flat_map(|lists| FAILURES.map(|failure| std::thread::spawn(move || play(lists, failure))))
         .collect();
@@ -199,7 +199,7 @@
 // lease as if it were new.
 #[test]
 fn a_heartbeat_that_is_read_late_renews_the_lease_from_when_it_was_written() {
-    let plays = [Lists::Asked, Lists::Pushed].map(|lists| {
+    let plays = [ListDelivery::Polled, ListDelivery::Pushed].map(|lists| {
         std::thread::spawn(move || {
             let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
             let (port, requests) = worker();
--- a/crates/pumiceway/tests/faults.rs
+++ b/crates/pumiceway/tests/faults.rs
@@ -6,9 +6,9 @@
 
 use pumiceway_test_support::processes::discovery::WatchLoss;
 use pumiceway_test_support::processes::faults::{Fault, Schedule};
-use pumiceway_test_support::processes::judge::{Verdict, judge};
+use pumiceway_test_support::processes::rule_checker::{RuleReport, check_rules};
 use pumiceway_test_support::processes::service::Failure;
-use pumiceway_test_support::processes::{Conditions, World, clients, faults};
+use pumiceway_test_support::processes::{Conditions, TestFleet, clients, faults};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -36,15 +36,15 @@
 /// A new process reports that it is ready within this time.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn play(seed: u64, size: &Size) -> Verdict {
+fn play(seed: u64, size: &Size) -> RuleReport {
     let lists = Conditions::draw(seed).lists;
     let schedule = faults::draw(seed, size.duration, size.dispatchers, size.workers, lists);
     play_schedule(seed, size, &schedule)
 }
 
-fn play_schedule(seed: u64, size: &Size, schedule: &Schedule) -> Verdict {
+fn play_schedule(seed: u64, size: &Size, schedule: &Schedule) -> RuleReport {
     let conditions = Conditions::draw(seed);
-    let world = World::start(
+    let world = TestFleet::start(
         &common::program(),
         size.dispatchers,
         size.workers,
@@ -60,12 +60,12 @@
         .collect();
     for dispatcher in &world.dispatchers {
         if dispatcher.crashed() {
-            world.breaks(format!("dispatcher {} has crashed", dispatcher.number));
+            world.record_violation(format!("dispatcher {} has crashed", dispatcher.number));
         } else if !dispatcher.ready_within(READY_TIMEOUT) {
-            world.breaks(format!("dispatcher {} is not ready", dispatcher.number));
+            world.record_violation(format!("dispatcher {} is not ready", dispatcher.number));
         }
     }
-    let verdict = judge(&world, &sent);
+    let verdict = check_rules(&world, &sent);
     println!(
         "seed {seed}, {conditions:?}: {} of {} served",
         verdict.served, verdict.requests
@@ -80,7 +80,7 @@
     check(seed, &play(seed, size));
 }
 
-fn check(seed: u64, verdict: &Verdict) {
+fn check(seed: u64, verdict: &RuleReport) {
     assert!(
         verdict.broken.is_empty(),
         "seed {seed}: {:#?}",
@@ -132,7 +132,7 @@
         ));
         schedule.push((
             second * 2 + half,
-            Fault::Leave {
+            Fault::EndpointsLeaving {
                 one_in: 2,
                 gone: true,
                 back: second * 11,
@@ -154,7 +154,7 @@
         (second, Fault::Kill { one_in: 2, down }),
         (
             second * 3 / 2,
-            Fault::Leave {
+            Fault::EndpointsLeaving {
                 one_in: 2,
                 gone: false,
                 back: Duration::from_secs(11),
--- a/crates/pumiceway/tests/restart.rs
+++ b/crates/pumiceway/tests/restart.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Files, Process, TIMEOUT, accept_call, worker};
-use pumiceway_test_support::processes::{Lists, is_ready};
+use pumiceway_test_support::processes::{ListDelivery, is_ready};
 use pumiceway_test_support::{Peer, endpoint_line, listing};
 use std::net::{TcpListener, TcpStream};
 
@@ -12,7 +12,7 @@
 // to them from the list in its configuration, until discovery answered.
 #[test]
 fn a_restarted_process_sends_nothing_until_discovery_confirms_its_list() {
-    for lists in [Lists::Asked, Lists::Pushed] {
+    for lists in [ListDelivery::Polled, ListDelivery::Pushed] {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let ((old_port, old), (new_port, new)) = (worker(), worker());
         let bootstrap_list = listing(1, true, &[endpoint_line("old", old_port, "ready")]);
--- a/crates/pumiceway/tests/site.rs
+++ b/crates/pumiceway/tests/site.rs
@@ -105,7 +105,7 @@
         client.send(&format!("[SUBMIT_JOB {class}||first]"));
         client.expect("[JOB_CREATED *]").unwrap();
         let handle = loop {
-            match worker.packet().unwrap() {
+            match worker.read_packet().unwrap() {
                 (name, _) if name == "NO_JOB" => worker.send("[PRE_SLEEP]"),
                 (name, _) if name == "NOOP" => worker.send("[GRAB_JOB]"),
                 (_, parts) => break parts[0].clone(),
--- a/crates/test-support/src/gearman.rs
+++ b/crates/test-support/src/gearman.rs
@@ -85,7 +85,7 @@
 
 /// Runs a Gearman worker until its session ends. It takes this long for each job, and its result is
 /// the job's workload.
-pub fn gearman_echo(address: SocketAddr, job_duration: Duration) {
+pub fn run_gearman_echo_worker(address: SocketAddr, job_duration: Duration) {
     let Ok(stream) = TcpStream::connect(address) else {
         return;
     };
@@ -93,7 +93,7 @@
     peer.send("[CAN_DO booking-import]");
     peer.send("[CAN_DO rate-push]");
     peer.send("[GRAB_JOB]");
-    while let Ok((name, arguments)) = peer.packet() {
+    while let Ok((name, arguments)) = peer.read_packet() {
         match name.as_str() {
             "JOB_ASSIGN" => {
                 if !job_duration.is_zero() {
--- a/crates/test-support/src/peer.rs
+++ b/crates/test-support/src/peer.rs
@@ -76,7 +76,7 @@
         if let Some(inside) = pattern.strip_prefix('[').and_then(|p| p.strip_suffix(']')) {
             return self.expect_packet(inside);
         }
-        let message = self.message()?;
+        let message = self.read_message()?;
         if matches_message(pattern, &message) {
             Ok(HashMap::new())
         } else {
@@ -93,7 +93,7 @@
     }
 
     fn expect_packet(&mut self, pattern: &str) -> Result<HashMap<String, String>, String> {
-        let (name, arguments) = self.packet()?;
+        let (name, arguments) = self.read_packet()?;
         let (expected_name, expected) = gearman::split_text(pattern);
         let expected: Vec<&str> = if expected.is_empty() {
             vec![]
@@ -121,7 +121,7 @@
     }
 
     /// Reads one HTTP message, a request or a response whose length is declared.
-    pub fn message(&mut self) -> Result<String, String> {
+    pub fn read_message(&mut self) -> Result<String, String> {
         let head_length = self.read_head()?;
         let head = String::from_utf8_lossy(&self.buffer[..head_length]).to_lowercase();
         let header = |name: &str| {
@@ -146,7 +146,7 @@
     }
 
     /// Reads one Gearman packet. Returns its name and its arguments.
-    pub fn packet(&mut self) -> Result<(String, Vec<String>), String> {
+    pub fn read_packet(&mut self) -> Result<(String, Vec<String>), String> {
         self.read_to(gearman::HEADER_LENGTH)?;
         let number = |at: usize| u32::from_be_bytes(self.buffer[at..at + 4].try_into().unwrap());
         let (packet_type, size) = (number(4), number(8) as usize);
@@ -159,7 +159,7 @@
     }
 
     /// Reads text up to an end, with which the text that has arrived must end.
-    pub fn text_to(&mut self, end: &str) -> String {
+    pub fn read_until(&mut self, end: &str) -> String {
         while !self.buffer.ends_with(end.as_bytes()) {
             self.read_to(self.buffer.len() + 1).unwrap();
         }
@@ -198,7 +198,7 @@
     }
 
     /// Whether the other side has closed, or has sent something unasked.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let peeked = self.stream.peek(&mut [0]);
         let _ = self.stream.set_nonblocking(false);
--- a/crates/test-support/src/processes/clients.rs
+++ b/crates/test-support/src/processes/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: they keep connections open and use them for as long as these stay open, some disconnect
 //! before the response, and some stop in the middle of a request.
 
-use super::World;
+use super::TestFleet;
 use crate::Peer;
 use fastrand::Rng;
 use std::collections::HashMap;
@@ -68,7 +68,7 @@
 }
 
 /// Starts so many clients. Each thread returns what its client has seen.
-pub fn start(world: &Arc<World>, count: u64, seed: u64) -> Vec<JoinHandle<Vec<Sent>>> {
+pub fn start(world: &Arc<TestFleet>, count: u64, seed: u64) -> Vec<JoinHandle<Vec<Sent>>> {
     let client = |number: u64| {
         let client = Client {
             world: world.clone(),
@@ -83,7 +83,7 @@
 }
 
 struct Client {
-    world: Arc<World>,
+    world: Arc<TestFleet>,
     number: u64,
     rng: Rng,
     /// Its open connections, by dispatcher.
@@ -100,7 +100,7 @@
             let kept = self.kept.remove(&dispatcher).filter(|_| !wants_new);
             let (peer, connection) = match kept {
                 // Closed between two requests, which the client has seen.
-                Some(peer) if peer.closed() => continue,
+                Some(peer) if peer.is_closed() => continue,
                 Some(peer) => (peer, Connection::Kept),
                 None => match self.connect(dispatcher) {
                     Some(peer) => (peer, Connection::New),
@@ -169,7 +169,7 @@
     }
 
     fn await_response(&mut self, dispatcher: usize, mut peer: Peer) -> End {
-        let Ok(response) = peer.message() else {
+        let Ok(response) = peer.read_message() else {
             return End::NoResponse;
         };
         if !response.to_lowercase().contains("connection: close") {
--- a/crates/test-support/src/processes/conditions.rs
+++ b/crates/test-support/src/processes/conditions.rs
@@ -20,19 +20,19 @@
 
 /// How endpoint lists reach the dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lists {
+pub enum ListDelivery {
     /// Each dispatcher polls the discovery service.
-    Asked,
+    Polled,
     /// An agent beside each dispatcher is pushed them.
     Pushed,
 }
 
-impl Lists {
+impl ListDelivery {
     /// The settings of the scenarios, as those of one dispatcher of a fleet.
     pub fn settings(self, instance: usize, instance_count: usize) -> String {
         let mode = match self {
-            Lists::Asked => "subscribe",
-            Lists::Pushed => "automatic",
+            ListDelivery::Polled => "subscribe",
+            ListDelivery::Pushed => "automatic",
         };
         let rules = r#""rules":{"ask-within-us":10000000,"drain-grace-us":500000}"#;
         let fields = format!(
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
     /// How lists reach the dispatchers.
-    pub lists: Lists,
+    pub lists: ListDelivery,
     /// The deadline of the idempotent class, and of the non-idempotent one.
     pub deadlines: [Duration; 2],
     /// The limit of sockets of a dispatcher.
@@ -58,9 +58,9 @@
     pub fn draw(seed: u64) -> Conditions {
         let mut rng = fastrand::Rng::with_seed(!seed);
         let lists = if seed.is_multiple_of(2) {
-            Lists::Asked
+            ListDelivery::Polled
         } else {
-            Lists::Pushed
+            ListDelivery::Pushed
         };
         let deadlines = if rng.u32(..3) == 0 {
             SHORT_DEADLINES
--- a/crates/test-support/src/processes/discovery/calls.rs
+++ b/crates/test-support/src/processes/discovery/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{CallFault, DiscoveryLink, OldAddress, SentVersion, State, Watch, WatchLoss};
 use crate::Peer;
-use crate::processes::Lists;
+use crate::processes::ListDelivery;
 use crate::processes::endpoints::ListMessage;
 use crate::processes::service::Failure;
 use std::time::{Duration, Instant};
@@ -69,7 +69,9 @@
 
 impl DiscoveryLink {
     pub(super) fn serve_call(&self, address: usize, mut peer: Peer) {
-        let Ok(request) = peer.message() else { return };
+        let Ok(request) = peer.read_message() else {
+            return;
+        };
         match self.address_state(address) {
             OldAddress::Alive => {}
             OldAddress::Dead => return refuse(peer, Failure::Unavailable),
@@ -84,7 +86,7 @@
             return refuse(peer, failure);
         }
         // The dispatcher may have given the call up, and would read nothing that is sent on it.
-        if peer.closed() {
+        if peer.is_closed() {
             return;
         }
         match (fault, watch_from) {
@@ -115,10 +117,10 @@
             None => endpoints.count(),
         };
         match self.lists {
-            Lists::Asked => self.service.take_turn(lines),
+            ListDelivery::Polled => self.service.take_turn(lines),
             // An agent beside the dispatcher serves no other.
-            Lists::Pushed if self.service.is_up() => Ok(()),
-            Lists::Pushed => Err(Failure::Unavailable),
+            ListDelivery::Pushed if self.service.is_up() => Ok(()),
+            ListDelivery::Pushed => Err(Failure::Unavailable),
         }
     }
 
@@ -147,7 +149,7 @@
             last_sent_at: opened_at,
             half_line_sent: false,
         };
-        while self.is_served(address) && !stream.peer.closed() {
+        while self.is_served(address) && !stream.peer.is_closed() {
             std::thread::sleep(WATCH_POLL);
             let (loss, changes_are_late) = {
                 let state = self.state.lock().unwrap();
@@ -192,7 +194,7 @@
 
     fn send_heartbeats(&self, address: usize, mut peer: Peer) {
         peer.send("200");
-        while self.is_served(address) && !peer.closed() {
+        while self.is_served(address) && !peer.is_closed() {
             std::thread::sleep(HEARTBEAT_INTERVAL);
             peer.send(HEARTBEAT_CHUNK);
         }
@@ -202,7 +204,7 @@
         peer.send("200");
         let first = self.service.endpoints.delta_since(0);
         for character in first.text.chars() {
-            if peer.closed() {
+            if peer.is_closed() {
                 return;
             }
             peer.send(&format!("raw 1\\r\\n{character}\\r\\n"));
@@ -217,11 +219,11 @@
         peer.send("200");
         self.send_line(address, &mut peer, &list);
         std::thread::sleep(match self.lists {
-            Lists::Asked => SERVICE_LAG,
-            Lists::Pushed => AGENT_LAG,
+            ListDelivery::Polled => SERVICE_LAG,
+            ListDelivery::Pushed => AGENT_LAG,
         });
         // The dispatcher may have given the watch up meanwhile.
-        if peer.closed() {
+        if peer.is_closed() {
             return;
         }
         self.watch(address, peer, list.version);
--- a/crates/test-support/src/processes/discovery/mod.rs
+++ b/crates/test-support/src/processes/discovery/mod.rs
@@ -10,7 +10,7 @@
 
 pub use notification::{ChangeToNotify, NotificationLimits};
 
-use super::Lists;
+use super::ListDelivery;
 use super::service::DiscoveryService;
 use crate::serve_each;
 use std::net::TcpListener;
@@ -93,7 +93,7 @@
 /// Discovery of one dispatcher.
 pub struct DiscoveryLink {
     service: Arc<DiscoveryService>,
-    lists: Lists,
+    lists: ListDelivery,
     addresses: [String; ADDRESSES],
     state: Mutex<State>,
 }
@@ -115,7 +115,7 @@
 
 impl DiscoveryLink {
     /// Starts the service for a dispatcher, or its agent.
-    pub fn start(service: Arc<DiscoveryService>, lists: Lists) -> Arc<DiscoveryLink> {
+    pub fn start(service: Arc<DiscoveryService>, lists: ListDelivery) -> Arc<DiscoveryLink> {
         let listeners = [(); ADDRESSES].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
         let addresses = listeners
             .each_ref()
--- a/crates/test-support/src/processes/discovery/notification.rs
+++ b/crates/test-support/src/processes/discovery/notification.rs
@@ -4,7 +4,7 @@
 //! agent beside the dispatcher counts at once for what it has, except on a watch that is silent.
 
 use super::{DiscoveryLink, Move};
-use crate::processes::Lists;
+use crate::processes::ListDelivery;
 use std::time::{Duration, Instant};
 
 /// Within what time a change counts as notified.
@@ -42,9 +42,9 @@
         let reachable_at = self.service.reachable_from(change.changed_at);
         let after_move = reachable_at.and_then(|at| self.limit_after_move(change, at, limits));
         let after_reachable = match self.lists {
-            Lists::Asked => reachable_at.map(|at| at + limits.after_reachable),
-            Lists::Pushed if after_move.is_some() => None,
-            Lists::Pushed => reachable_at.map(|at| self.agent_counts_at(at, limits)),
+            ListDelivery::Polled => reachable_at.map(|at| at + limits.after_reachable),
+            ListDelivery::Pushed if after_move.is_some() => None,
+            ListDelivery::Pushed => reachable_at.map(|at| self.agent_counts_at(at, limits)),
         };
         let sent_at = self.sent_at(change);
         [after_reachable, after_move, sent_at]
--- a/crates/test-support/src/processes/dispatcher.rs
+++ b/crates/test-support/src/processes/dispatcher.rs
@@ -3,7 +3,7 @@
 use super::discovery::{DiscoveryLink, OldAddress};
 use super::program::{field, is_ready, serve};
 use super::service::DiscoveryService;
-use super::{Conditions, World};
+use super::{Conditions, TestFleet};
 use std::path::PathBuf;
 use std::process::{Child, Command};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -90,7 +90,7 @@
     }
 
     /// Starts a process, on the bootstrap list that the first one began with.
-    pub fn launch(&self, world: &World) {
+    pub fn launch(&self, world: &TestFleet) {
         let configuring = self.configuring.lock().unwrap();
         self.write_config();
         let started_at = Instant::now();
@@ -150,7 +150,7 @@
 
     /// Asks its process to stop, twice if so drawn, and kills it at the earliest time at which that
     /// may happen.
-    pub fn terminate(&self, world: &World, twice: bool) {
+    pub fn terminate(&self, world: &TestFleet, twice: bool) {
         let terminated_at = Instant::now();
         self.update_run(|run| run.terminated_at = Some(terminated_at));
         self.signal("-TERM");
@@ -170,7 +170,7 @@
     }
 
     /// Whether its process has ended. Its status must be a success.
-    fn reap(&self, world: &World) -> bool {
+    fn reap(&self, world: &TestFleet) -> bool {
         let status = self
             .child
             .lock()
@@ -181,7 +181,7 @@
             return false;
         };
         if !status.success() {
-            world.breaks(format!(
+            world.record_violation(format!(
                 "dispatcher {} did not end well: {status}",
                 self.number
             ));
--- a/crates/test-support/src/processes/endpoints.rs
+++ b/crates/test-support/src/processes/endpoints.rs
@@ -106,7 +106,7 @@
     }
 
     fn serve(&self, endpoint: usize, mut peer: Peer) {
-        while let Ok(request) = peer.message() {
+        while let Ok(request) = peer.read_message() {
             let arrival = Arrival::parse(endpoint, &request);
             self.arrivals.lock().unwrap().push(arrival);
             let behavior = self.behaviors.lock().unwrap()[endpoint];
--- a/crates/test-support/src/processes/faults/drawing.rs
+++ b/crates/test-support/src/processes/faults/drawing.rs
@@ -1,7 +1,7 @@
 //! Draws a schedule of faults from a seed.
 
 use super::{Fault, Schedule};
-use crate::processes::Lists;
+use crate::processes::ListDelivery;
 use crate::processes::discovery::{CallFault, OldAddress, WatchLoss};
 use crate::processes::endpoints::Behavior;
 use crate::processes::service::Failure;
@@ -25,7 +25,7 @@
 }
 
 fn draw_leave(rng: &mut Rng) -> Fault {
-    Fault::Leave {
+    Fault::EndpointsLeaving {
         one_in: rng.usize(2..4),
         gone: rng.bool(),
         back: millis(rng, 600, 14_000),
@@ -110,7 +110,7 @@
     }
 }
 
-fn draw_fault(rng: &mut Rng, dispatchers: usize, endpoints: usize, lists: Lists) -> Fault {
+fn draw_fault(rng: &mut Rng, dispatchers: usize, endpoints: usize, lists: ListDelivery) -> Fault {
     let dispatcher = rng.usize(..dispatchers);
     match rng.u32(..18) {
         0 => Fault::Kill {
@@ -130,7 +130,7 @@
         6 | 7 => draw_discovery_crowded(rng),
         8 | 9 => draw_watches_lost(rng),
         // An agent counts for what it has; late is what it does not have.
-        10 if lists == Lists::Asked => Fault::ChangesLate {
+        10 if lists == ListDelivery::Polled => Fault::ChangesLate {
             one_in: rng.usize(1..3),
             late: millis(rng, 500, 5_500),
         },
@@ -154,7 +154,7 @@
     length: Duration,
     dispatchers: usize,
     endpoints: usize,
-    lists: Lists,
+    lists: ListDelivery,
 ) -> Schedule {
     let mut rng = Rng::with_seed(seed);
     let rng = &mut rng;
--- a/crates/test-support/src/processes/faults/mod.rs
+++ b/crates/test-support/src/processes/faults/mod.rs
@@ -55,7 +55,7 @@
         old_address: OldAddress,
     },
     /// Endpoints drain or are gone, and come back after this time.
-    Leave {
+    EndpointsLeaving {
         one_in: usize,
         gone: bool,
         back: Duration,
--- a/crates/test-support/src/processes/faults/playing.rs
+++ b/crates/test-support/src/processes/faults/playing.rs
@@ -1,7 +1,7 @@
 //! Plays a schedule of faults over the dispatchers and the stand-ins around them.
 
 use super::{Fault, Schedule};
-use crate::processes::World;
+use crate::processes::TestFleet;
 use crate::processes::dispatcher::{CrowdedTime, Dispatcher};
 use crate::processes::endpoints::{Behavior, ListedStatus};
 use crate::processes::service::{Cost, USUAL_COST};
@@ -16,7 +16,7 @@
 const CROWD_MULTIPLE: usize = 2;
 
 /// Plays a schedule until the last fault is over.
-pub fn play(world: &Arc<World>, schedule: &Schedule) {
+pub fn play(world: &Arc<TestFleet>, schedule: &Schedule) {
     let mut running = Vec::new();
     for &(begins, fault) in schedule {
         std::thread::sleep((world.start + begins).saturating_duration_since(Instant::now()));
@@ -25,17 +25,17 @@
     }
     for fault in running {
         if fault.join().is_err() {
-            world.breaks("a fault could not be played".into());
+            world.record_violation("a fault could not be played".into());
         }
     }
 }
 
-fn one_in(world: &World, one_in: usize) -> impl Iterator<Item = &Dispatcher> {
+fn one_in(world: &TestFleet, one_in: usize) -> impl Iterator<Item = &Dispatcher> {
     let dispatchers = world.dispatchers.iter();
     dispatchers.filter(move |dispatcher| dispatcher.number % one_in == 0)
 }
 
-fn play_fault(world: &World, fault: Fault) {
+fn play_fault(world: &TestFleet, fault: Fault) {
     match fault {
         Fault::Kill { one_in, down } => kill(world, one_in, down),
         Fault::Restart {
@@ -97,7 +97,7 @@
                 std::thread::sleep(MOVE_INTERVAL);
             }
         }
-        Fault::Leave { one_in, gone, back } => leave(world, one_in, gone, back),
+        Fault::EndpointsLeaving { one_in, gone, back } => leave(world, one_in, gone, back),
         Fault::Misbehave {
             endpoint,
             behavior,
@@ -116,7 +116,7 @@
     }
 }
 
-fn kill(world: &World, share: usize, down: Duration) {
+fn kill(world: &TestFleet, share: usize, down: Duration) {
     let killed: Vec<&Dispatcher> = one_in(world, share)
         .filter(|dispatcher| dispatcher.claim())
         .collect();
@@ -127,7 +127,7 @@
         .for_each(|dispatcher| dispatcher.launch(world));
 }
 
-fn restart(world: &World, dispatcher: &Dispatcher, hangup: bool, twice: bool) {
+fn restart(world: &TestFleet, dispatcher: &Dispatcher, hangup: bool, twice: bool) {
     if !dispatcher.claim() {
         return;
     }
@@ -138,7 +138,7 @@
     dispatcher.launch(world);
 }
 
-fn leave(world: &World, one_in: usize, gone: bool, back: Duration) {
+fn leave(world: &TestFleet, one_in: usize, gone: bool, back: Duration) {
     let status = if gone {
         ListedStatus::Gone
     } else {
@@ -154,7 +154,7 @@
     set_status(ListedStatus::Ready);
 }
 
-fn crowd(world: &World, dispatcher: &Dispatcher, time: Duration) {
+fn crowd(world: &TestFleet, dispatcher: &Dispatcher, time: Duration) {
     let Some(address) = dispatcher.address.lock().unwrap().clone() else {
         return;
     };
--- a/crates/test-support/src/processes/program.rs
+++ b/crates/test-support/src/processes/program.rs
@@ -60,6 +60,6 @@
     };
     let mut peer = Peer::new(stream);
     peer.send("raw GET /-/ready HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n");
-    peer.message()
+    peer.read_message()
         .is_ok_and(|response| response.starts_with("HTTP/1.1 200"))
 }
--- a/crates/test-support/src/processes/judge.rs
+++ b/crates/test-support/src/processes/rule_checker.rs
@@ -3,7 +3,7 @@
 use super::clients::{Connection, End, Sent};
 use super::discovery::{ChangeToNotify, NotificationLimits};
 use super::endpoints::{Arrival, ListChange, ListedStatus};
-use super::{ProcessRun, World};
+use super::{ProcessRun, TestFleet};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
 
 /// The result of a play.
 #[derive(Debug, Default)]
-pub struct Verdict {
+pub struct RuleReport {
     /// How many requests were sent.
     pub requests: usize,
     /// How many of them were served.
@@ -37,7 +37,7 @@
 }
 
 /// Judges a play that is over.
-pub fn judge(world: &World, sent: &[Sent]) -> Verdict {
+pub fn check_rules(world: &TestFleet, sent: &[Sent]) -> RuleReport {
     let mut judge = Judge {
         world,
         broken: std::mem::take(&mut *world.broken.lock().unwrap()),
@@ -59,7 +59,7 @@
         let is_forwarded = forwarded.contains_key(request.id.as_str());
         judge.check_end(request, is_forwarded);
     }
-    Verdict {
+    RuleReport {
         requests: sent.len(),
         served: sent.iter().filter(|request| is_served(request)).count(),
         broken: judge.broken,
@@ -71,7 +71,7 @@
 }
 
 struct Judge<'a> {
-    world: &'a World,
+    world: &'a TestFleet,
     broken: Vec<String>,
 }
 
--- a/crates/test-support/src/processes/world.rs
+++ b/crates/test-support/src/processes/test_fleet.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Everything in one play.
-pub struct World {
+pub struct TestFleet {
     /// When it began.
     pub start: Instant,
     /// What holds throughout.
@@ -29,19 +29,19 @@
     pub(super) program: PathBuf,
 }
 
-impl World {
+impl TestFleet {
     /// Starts so many dispatchers of this program, and endpoints.
     pub fn start(
         program: &Path,
         dispatchers: usize,
         endpoints: usize,
         conditions: Conditions,
-    ) -> Arc<World> {
+    ) -> Arc<TestFleet> {
         let endpoints = Endpoints::start(endpoints);
         let service = DiscoveryService::start(endpoints.clone());
         let dispatcher = |number| Dispatcher::new(number, dispatchers, service.clone(), conditions);
         let dispatchers = (0..dispatchers).map(dispatcher).collect();
-        let world = Arc::new(World {
+        let world = Arc::new(TestFleet {
             start: Instant::now(),
             conditions,
             endpoints,
@@ -59,7 +59,7 @@
     }
 
     /// Notes that an invariant is broken.
-    pub fn breaks(&self, description: String) {
+    pub fn record_violation(&self, description: String) {
         let at = self.start.elapsed().as_secs_f64();
         self.broken
             .lock()
--- a/crates/test-support/src/scenario.rs
+++ b/crates/test-support/src/scenario.rs
@@ -45,7 +45,7 @@
 const LIST_POLL: Duration = Duration::from_millis(2);
 
 /// A dispatcher on a thread of its own, and stand-ins around it.
-pub struct Stage {
+pub struct ScenarioRunner {
     /// Where its HTTP frontend listens.
     pub http: SocketAddr,
     /// Where its Gearman frontend listens.
@@ -68,16 +68,19 @@
     thread: JoinHandle<()>,
 }
 
-impl Stage {
+impl ScenarioRunner {
     /// A dispatcher whose bootstrap list has these endpoints. One named `discovery` is the
     /// discovery service instead.
-    pub fn new(endpoints: &[&str]) -> Stage {
-        Stage::with(endpoints, None)
+    pub fn new(endpoints: &[&str]) -> ScenarioRunner {
+        ScenarioRunner::with_zookeeper(endpoints, None)
     }
 
     /// The same, beside an endpoint set in ZooKeeper.
-    pub fn with(endpoints: &[&str], zookeeper: Option<ZooKeeperConfig>) -> Stage {
-        Stage::with_settings(endpoints, zookeeper, SETTINGS)
+    pub fn with_zookeeper(
+        endpoints: &[&str],
+        zookeeper: Option<ZooKeeperConfig>,
+    ) -> ScenarioRunner {
+        ScenarioRunner::with_settings(endpoints, zookeeper, SETTINGS)
     }
 
     /// The same, with settings of its own.
@@ -85,14 +88,14 @@
         endpoints: &[&str],
         zookeeper: Option<ZooKeeperConfig>,
         settings: &str,
-    ) -> Stage {
+    ) -> ScenarioRunner {
         let listeners = bind_listeners(endpoints);
         let text = config_text(endpoints, &listeners, settings);
         let mut config = Config::from_text(&text, "config", |_| None).unwrap();
         config.gearman = Some(gearman_config(&config));
         config.zookeeper = zookeeper;
         let dispatcher = run_dispatcher(config);
-        Stage {
+        ScenarioRunner {
             http: dispatcher.http,
             gearman: dispatcher.gearman,
             listeners,
@@ -105,14 +108,14 @@
     }
 
     /// Plays a scenario in front of these endpoints.
-    pub fn play(endpoints: &[&str], scenario: &str) -> Stage {
-        let mut stage = Stage::new(endpoints);
-        stage.go_on(scenario);
-        stage
+    pub fn run(endpoints: &[&str], scenario: &str) -> ScenarioRunner {
+        let mut runner = ScenarioRunner::new(endpoints);
+        runner.continue_with(scenario);
+        runner
     }
 
     /// Plays a further scenario.
-    pub fn go_on(&mut self, scenario: &str) {
+    pub fn continue_with(&mut self, scenario: &str) {
         let lines = scenario.lines().map(str::trim);
         for line in lines.filter(|line| !line.is_empty() && !line.starts_with('#')) {
             self.play_line(line);
@@ -165,17 +168,17 @@
     }
 
     /// Hands a listener out, for a stand-in that acts by itself.
-    pub fn take(&mut self, name: &str) -> TcpListener {
+    pub fn take_listener(&mut self, name: &str) -> TcpListener {
         self.listeners.remove(name).unwrap()
     }
 
     /// Adds a listener, for endpoints that are listed elsewhere.
-    pub fn add(&mut self, name: &str, listener: TcpListener) {
+    pub fn add_listener(&mut self, name: &str, listener: TcpListener) {
         self.listeners.insert(name.to_owned(), listener);
     }
 
     /// The port of a listener.
-    pub fn port(&self, name: &str) -> u16 {
+    pub fn listener_port(&self, name: &str) -> u16 {
         self.listeners[name].local_addr().unwrap().port()
     }
 
@@ -190,7 +193,7 @@
     }
 
     /// Has a peer send chunks of a single byte, one per interval, until it is over.
-    pub fn trickle(
+    pub fn send_slowly(
         &mut self,
         peer: &str,
         interval: Duration,
@@ -201,13 +204,13 @@
     }
 
     /// Waits until the endpoint set shows an endpoint in a state.
-    pub fn until_listed(&mut self, endpoint: &str, state: &str) {
+    pub fn wait_until_listed(&mut self, endpoint: &str, state: &str) {
         let line = format!("{endpoint}\t{state}\t");
         let end = Instant::now() + TIMEOUT;
         loop {
             let mut peer = Peer::new(TcpStream::connect(self.gearman).unwrap());
             peer.send("raw routes\\n");
-            let listed = peer.text_to(".\n");
+            let listed = peer.read_until(".\n");
             if listed.contains(&line) {
                 return;
             }
@@ -217,12 +220,12 @@
     }
 
     /// Asks the dispatcher to stop.
-    pub fn stop(&mut self) {
+    pub fn request_stop(&mut self) {
         drop(self.stop.take());
     }
 
     /// Waits until it has ended.
-    pub fn ended(&mut self) {
+    pub fn wait_for_exit(&mut self) {
         self.thread.take().unwrap().join().unwrap();
     }
 }
