--- /dev/null
+++ b/crates/pumiceway/tests/old_platform_document.rs
@@ -0,0 +1,201 @@
+//! The program as a process on the platform's documents of the program before its sources were
+//! reworded, with addresses of this test in them.
+
+mod common;
+
+use common::{TIMEOUT, program};
+use pumiceway_test_support::Peer;
+use pumiceway_test_support::processes::{field, is_ready};
+use std::io::{BufRead, BufReader};
+use std::net::{TcpListener, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::mpsc::channel;
+use std::time::{Duration, Instant};
+
+const FIXTURE: &str = include_str!("../../net/tests/fixtures/platform-v1.json");
+const RELOADED: &str = include_str!("../../net/tests/fixtures/platform-reload-v1.json");
+const RESTART_REQUIRED: &str = "configuration keys changed that take a restart to apply: ";
+/// What discovery sends about the list of the first document, and what that changes in the table.
+const DELTA: &str =
+    r#"+ {"index":42,"snapshot":false,"endpoints":[{"name":"n2","status":"gone"}]}"#;
+/// The endpoints of the first document in the table of the admin command `routes`.
+const LISTED: &str =
+    "n1\tReady\tnorth\nn2\tDraining\tnorth\ns1\tGone\tsouth\ns2\tReady\tsouth\n.\n";
+/// The addresses in the bootstrap lists.
+const ADDRESSES: [&str; 4] = [
+    "192.0.2.11:7001",
+    "192.0.2.12:7002",
+    "192.0.2.13:7003",
+    "192.0.2.14:7004",
+];
+
+fn listener() -> (TcpListener, String) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    (listener, address)
+}
+
+/// A document with addresses of this machine. Nothing is sent to the endpoints but health checks.
+fn localized(document: &str, written: &str, discovery: &str, endpoints: &[String]) -> String {
+    assert!(document.contains(written));
+    let mut text = document
+        .replace("127.0.0.1:3107", "127.0.0.1:0")
+        .replace(written, discovery);
+    for (written, address) in ADDRESSES.iter().zip(endpoints) {
+        text = text.replace(written, address);
+    }
+    text
+}
+
+fn write_file(suffix: &str, text: &str) -> PathBuf {
+    let name = format!("pumiceway-{}-platform.{suffix}", std::process::id());
+    let path = std::env::temp_dir().join(name);
+    std::fs::write(&path, text).unwrap();
+    path
+}
+
+/// The program and its files; both end with the test.
+struct Running {
+    child: Child,
+    config: PathBuf,
+    gearman: PathBuf,
+}
+
+impl Running {
+    fn start(document: &str) -> (Running, BufReader<ChildStderr>) {
+        let config = write_file("json", document);
+        let gearman = write_file("toml", "listen = \"127.0.0.1:0\"\n");
+        let mut child = spawn(&config, &gearman);
+        kill_after_timeout(child.id());
+        let log = BufReader::new(child.stderr.take().unwrap());
+        let running = Running {
+            child,
+            config,
+            gearman,
+        };
+        (running, log)
+    }
+
+    fn reload(&self, document: &str) {
+        std::fs::write(&self.config, document).unwrap();
+        let process = self.child.id().to_string();
+        let status = Command::new("kill").args(["-HUP", &process]).status();
+        assert!(status.unwrap().success());
+    }
+}
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.gearman);
+    }
+}
+
+fn spawn(config: &Path, gearman: &Path) -> Child {
+    Command::new(program())
+        .arg("serve")
+        .arg("--gearman")
+        .arg(gearman)
+        .env_clear()
+        .env("ROUTER_CONFIG", config)
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
+}
+
+/// The next call to discovery, which must come in time, and its path.
+fn call_in_time(discovery: TcpListener) -> (Peer, String) {
+    let (sender, calls) = channel();
+    std::thread::spawn(move || {
+        let mut peer = Peer::new(discovery.accept().unwrap().0);
+        let request = peer.message().unwrap();
+        sender.send((peer, request))
+    });
+    let (peer, request) = calls.recv_timeout(TIMEOUT).unwrap();
+    let path = request.split_whitespace().nth(1).unwrap().to_owned();
+    (peer, path)
+}
+
+/// The program is killed in the end, so that no test reads its log for ever.
+fn kill_after_timeout(process: u32) {
+    std::thread::spawn(move || {
+        std::thread::sleep(TIMEOUT * 2);
+        let process = process.to_string();
+        let _ = Command::new("kill").args(["-KILL", &process]).status();
+    });
+}
+
+/// The next line of the log that contains this text.
+fn logged(log: &mut BufReader<ChildStderr>, part: &str) -> String {
+    log.lines()
+        .map(Result::unwrap)
+        .find(|line| line.contains(part))
+        .unwrap()
+}
+
+/// The endpoints, as the admin command `routes` lists them.
+fn routes(gearman: &str) -> String {
+    let mut peer = Peer::new(TcpStream::connect(gearman).unwrap());
+    peer.send("raw routes\\n");
+    peer.text_to(".\n")
+}
+
+fn wait_for_routes(gearman: &str, expected: &str) {
+    let started_at = Instant::now();
+    loop {
+        let routes = routes(gearman);
+        if routes == expected {
+            return;
+        }
+        assert!(started_at.elapsed() < TIMEOUT, "{routes}");
+        std::thread::sleep(Duration::from_millis(2));
+    }
+}
+
+#[test]
+fn old_documents_list_the_same_endpoints_and_are_reloaded_to_the_same_keys() {
+    let (discovery, address) = listener();
+    let (next_discovery, next_address) = listener();
+    let (_endpoints, endpoint_addresses): (Vec<_>, Vec<_>) = (0..4).map(|_| listener()).unzip();
+    let first = localized(
+        FIXTURE,
+        "discovery.example:8500",
+        &address,
+        &endpoint_addresses,
+    );
+    let (running, mut log) = Running::start(&first);
+    let line = logged(&mut log, "dispatcher is listening");
+    assert_eq!(field(&line, "name").as_deref(), Some("\"router-north-1\""));
+    let gearman = field(&line, "gearman").unwrap();
+    let http = field(&line, "address").unwrap();
+    // The table has the list from the start, but the program is not ready before its confirmation
+    // (or, without one, after some seconds).
+    wait_for_routes(&gearman, LISTED);
+    assert!(!is_ready(&http));
+
+    let (mut watch, path) = call_in_time(discovery);
+    assert_eq!(path, "/api/targets?stream=1&index=41");
+    watch.send("200");
+    watch.send(DELTA);
+    let confirmed = LISTED.replace("Draining", "Gone");
+    wait_for_routes(&gearman, &confirmed);
+    assert!(is_ready(&http));
+
+    let second = localized(
+        RELOADED,
+        "discovery-2.example:8501",
+        &next_address,
+        &endpoint_addresses,
+    );
+    running.reload(&second);
+    let line = logged(&mut log, RESTART_REQUIRED);
+    let (_, keys) = line.split_once(RESTART_REQUIRED).unwrap();
+    assert_eq!(keys.trim_end(), "limits, settings.lanes, settings.rules");
+    let (_watch, path) = call_in_time(next_discovery);
+    assert_eq!(path, "/api/targets");
+    // The list in use is newer than the one in the file.
+    assert_eq!(routes(&gearman), confirmed);
+}
