--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -6,7 +6,7 @@
 //! valuable request is shed for one more.
 
 use super::Balancer;
-use super::selection::{EndpointQueue, Selection};
+use super::selection::{EndpointQueueing, Selection};
 use crate::api::{Action, ClassId, RequestId, Timestamp};
 use crate::state::Request;
 use crate::time::{divide, from_micros_f64, micros_f64};
@@ -15,7 +15,7 @@
 const TICKS_BEFORE_DEADLINE: u32 = 2;
 /// The objective stretch above this is slack, and the second share of it may be spent in the queue.
 /// More would raise the learnt running time, and with it the allowance.
-const STRETCH_FOR_RUN: f64 = 1.2;
+const STRETCH_WITHOUT_SLACK: f64 = 1.2;
 const SLACK_SHARE: f64 = 0.5;
 
 /// A request that no endpoint would start: neither would a later one of its class that takes as
@@ -72,11 +72,11 @@
         }
         // Bounds the work for each event, which would grow with queued requests times endpoints.
         let mut unplaceable: Vec<Unplaceable> = Vec::new();
-        for id in self.take_queue_by_value() {
+        for id in self.take_sorted_queue() {
             let request = &self.state.requests[&id];
             let is_first_attempt = request.attempts.is_empty();
             if !(is_first_attempt && unplaceable.iter().any(|other| other.covers(request))) {
-                match self.try_send(now, id, EndpointQueue::Allowed, actions) {
+                match self.try_send(now, id, EndpointQueueing::Allowed, actions) {
                     Selection::Send(_) => continue,
                     Selection::NoCapacity if is_first_attempt => {
                         unplaceable.push(Unplaceable::of(&self.state.requests[&id]));
@@ -93,7 +93,7 @@
     }
 
     /// Empties the queue. Requests of the same value stay in the order of their arrival.
-    fn take_queue_by_value(&mut self) -> Vec<RequestId> {
+    fn take_sorted_queue(&mut self) -> Vec<RequestId> {
         let mut queue = std::mem::take(&mut self.state.queue);
         queue.retain(|id| {
             self.state
@@ -101,8 +101,8 @@
                 .get(id)
                 .is_some_and(|request| !request.is_done)
         });
-        let value = |id: &RequestId| self.value(&self.state.requests[id]);
-        queue.sort_by(|a, b| value(b).total_cmp(&value(a)));
+        let value_density = |id: &RequestId| self.value_density(&self.state.requests[id]);
+        queue.sort_by(|a, b| value_density(b).total_cmp(&value_density(a)));
         queue
     }
 
@@ -121,7 +121,7 @@
             let run = run.min(divide(class.deadline, 2));
             return (request.started_at + max_queue_time).min(latest.saturating_sub(run));
         }
-        let stretch = (class.objective_stretch - STRETCH_FOR_RUN).max(0.0);
+        let stretch = (class.objective_stretch - STRETCH_WITHOUT_SLACK).max(0.0);
         let slack_us =
             (SLACK_SHARE * stretch * expected_run_us).min(micros_f64(class.latency_objective));
         (request.started_at + class.latency_objective + from_micros_f64(slack_us)).min(latest)
@@ -129,7 +129,7 @@
 
     /// Priority weight for a slot's time: for its hinted work, where the weight is one for a unit
     /// of work, or for the running time of its class.
-    fn value(&self, request: &Request) -> f64 {
+    fn value_density(&self, request: &Request) -> f64 {
         let run = request
             .work_hint
             .map_or(self.state.classes[request.class.0].run_us, |_| 1.0);
--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -14,14 +14,14 @@
 
 /// Time constant with which belief about other dispatchers' use of an endpoint fades to the mean of
 /// its zone.
-pub(super) const BELIEF_TIME_CONSTANT_US: f64 = 2_000_000.0;
+pub(super) const LOAD_ESTIMATE_TIME_CONSTANT_US: f64 = 2_000_000.0;
 /// A request may lack this much of a slot: belief is a mean, and slots come whole.
 const SLOT_TOLERANCE: f64 = 0.5;
 /// An endpoint known by the mean of its zone alone is full at this mean use: the mean names none
 /// that has capacity.
-const FULL_AT_MEAN_USE: f64 = 0.5;
+const FULL_AT_ZONE_USAGE: f64 = 0.5;
 /// The share of its objective that a request which queues at an endpoint keeps for its run.
-const OBJECTIVE_FOR_RUN: f64 = 0.5;
+const RUN_SHARE_OF_OBJECTIVE: f64 = 0.5;
 /// A request of several slots may lack less than this many at the endpoint where it queues for
 /// them.
 const MAX_MISSING_SLOTS: f64 = 1.0;
@@ -55,26 +55,26 @@
     fn others_slots(&self, now: Timestamp, endpoint: &Endpoint, total: f64) -> f64 {
         let mean = self.mean_others_slots(now, endpoint, total);
         let age_us = now.micros_since(endpoint.reported_at) as f64;
-        mean + (endpoint.others_slots - mean) * decay(age_us, BELIEF_TIME_CONSTANT_US)
+        mean + (endpoint.others_slots - mean) * decay(age_us, LOAD_ESTIMATE_TIME_CONSTANT_US)
     }
 
     /// What other dispatchers use of an endpoint of which nothing else is known.
     fn mean_others_slots(&self, now: Timestamp, endpoint: &Endpoint, total: f64) -> f64 {
-        let known_by_mean = self.is_known_by_mean(endpoint);
+        let uses_zone_mean = self.uses_zone_mean(endpoint);
         // Where nobody reports, a guess that nothing can correct would keep all requests from idle
         // endpoints.
         let never_reported = endpoint.reported_at == Timestamp::ORIGIN
-            && !known_by_mean
+            && !uses_zone_mean
             && (!self.can_poll_load() || self.relies_on_health_checks(endpoint));
         // Slow start leaves an endpoint nearly empty.
         if never_reported || self.time_in_slow_start(now, endpoint).is_some() {
             return 0.0;
         }
         let usage = self.state.zone_usage[endpoint.zone.0];
-        if known_by_mean {
+        if uses_zone_mean {
             // Fades, as a zone once full gets nothing that would show it to be free.
-            let remaining = usage.remaining(now, BELIEF_TIME_CONSTANT_US);
-            return (total - SLOT_TOLERANCE) * usage.share / FULL_AT_MEAN_USE * remaining;
+            let remaining = usage.remaining(now, LOAD_ESTIMATE_TIME_CONSTANT_US);
+            return (total - SLOT_TOLERANCE) * usage.share / FULL_AT_ZONE_USAGE * remaining;
         }
         total * usage.share
     }
@@ -82,7 +82,7 @@
     /// Where load cannot be polled and dispatchers outnumber endpoints, most endpoints are known by
     /// the mean of those that reported: taken for empty, they would get a burst that fills all
     /// their queues.
-    pub(super) fn is_known_by_mean(&self, endpoint: &Endpoint) -> bool {
+    pub(super) fn uses_zone_mean(&self, endpoint: &Endpoint) -> bool {
         self.is_large_unpolled_fleet() && self.state.kind_slots[endpoint.kind.0] > 0.0
     }
 
@@ -115,7 +115,7 @@
     /// Whether an attempt of ours should have reported its start by now: the endpoint has a queue.
     fn has_late_start(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
         let first = endpoint.unstarted_sends.first();
-        first.is_some_and(|&sent_at| now > self.prompt_by(sent_at))
+        first.is_some_and(|&sent_at| now > self.idle_response_due_at(sent_at))
     }
 
     /// Whether an endpoint would start the request from its queue while that still meets the
@@ -144,7 +144,7 @@
         let wait_us = -spare * self.state.mean_run_us / self.slots_of(endpoint, request);
         let objective_us = micros_f64(self.settings.classes[request.class.0].latency_objective);
         let latest_start_us =
-            self.latest_start(request).as_micros() as f64 - OBJECTIVE_FOR_RUN * objective_us;
+            self.latest_start(request).as_micros() as f64 - RUN_SHARE_OF_OBJECTIVE * objective_us;
         now.as_micros() as f64 + wait_us <= latest_start_us
     }
 }
--- a/crates/decisions/src/policy/eligibility.rs
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// An endpoint on probation is left to idempotent requests, unless none has arrived for this long.
-const PROBATION_FOR_IDEMPOTENT: Duration = Duration::from_secs(10);
+const IDEMPOTENT_TRAFFIC_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Balancer {
     /// What the rules permit for a request.
@@ -40,24 +40,25 @@
             && permission
                 .check_endpoint(endpoint.zone, endpoint.cell)
                 .is_ok()
-            && self.allows_on_probation(now, endpoint, request)
-            && !was_sent_to(request, id)
+            && self.passes_probation(now, endpoint, request)
+            && !may_have_run_at(request, id)
             && self.has_slow_start_budget(now, endpoint, request)
     }
 
-    fn allows_on_probation(&self, now: Timestamp, endpoint: &Endpoint, request: &Request) -> bool {
+    fn passes_probation(&self, now: Timestamp, endpoint: &Endpoint, request: &Request) -> bool {
         if !endpoint.on_probation && !self.is_failing(endpoint) {
             return true;
         }
         let is_idempotent =
             self.settings.classes[request.class.0].idempotency == Idempotency::Idempotent;
-        let idempotent_arrive = now < self.state.last_idempotent_at + PROBATION_FOR_IDEMPOTENT;
-        endpoint.own_attempts == 0 && (is_idempotent || !idempotent_arrive)
+        let has_idempotent_traffic =
+            now < self.state.last_idempotent_at + IDEMPOTENT_TRAFFIC_TIMEOUT;
+        endpoint.own_attempts == 0 && (is_idempotent || !has_idempotent_traffic)
     }
 }
 
 /// Whether an attempt of the request may have run at this endpoint, or may yet.
-fn was_sent_to(request: &Request, id: EndpointId) -> bool {
+fn may_have_run_at(request: &Request, id: EndpointId) -> bool {
     let sent =
         |attempt: &Attempt| attempt.endpoint == id && attempt.execution != Execution::NeverRan;
     request.attempts.iter().any(sent)
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -28,7 +28,7 @@
 /// to itself.
 const REFRESH_SHARE_SLOPE: f64 = 1.5;
 /// Step of the mean time that a health check takes.
-const DURATION_STEP: f64 = 0.1;
+const CHECK_DURATION_EWMA_WEIGHT: f64 = 0.1;
 
 impl Balancer {
     pub(super) fn check_health(
@@ -74,11 +74,11 @@
         self.state.endpoint_mut(id).health_check_in_flight = false;
         match outcome {
             Outcome::Success => {
-                self.note_recovery(now, id);
+                self.on_check_passed(now, id);
                 self.state.health_check_us +=
-                    DURATION_STEP * (micros_f64(latency) - self.state.health_check_us);
+                    CHECK_DURATION_EWMA_WEIGHT * (micros_f64(latency) - self.state.health_check_us);
                 if let Some(report) = report {
-                    self.on_report(now, id, report);
+                    self.on_load_report(now, id, report);
                 }
             }
             // It runs, and only answers no more health checks at once.
@@ -88,14 +88,14 @@
             | Outcome::Timeout
             | Outcome::ConnectFailed
             | Outcome::Reset
-            | Outcome::Cancelled => self.note_failed_check(now, id),
+            | Outcome::Cancelled => self.on_check_failed(now, id),
         }
         self.serve_queue(now, actions);
     }
 
     /// An endpoint that failed and is back before the list tells may have restarted, and is taken
     /// for one in slow start; so is one that only could not be reached.
-    fn note_recovery(&mut self, now: Timestamp, id: EndpointId) {
+    fn on_check_passed(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
         let was_ejected = endpoint.ejected_until.take().is_some();
@@ -106,7 +106,7 @@
     }
 
     /// A check sent before a stall proves nothing, unless the endpoint was suspected already.
-    fn note_failed_check(&mut self, now: Timestamp, id: EndpointId) {
+    fn on_check_failed(&mut self, now: Timestamp, id: EndpointId) {
         let resumed_at = self.state.resumed_at;
         let endpoint = self.state.endpoint_mut(id);
         if endpoint.ejected_until.is_some() || endpoint.health_checked_at >= resumed_at {
@@ -125,11 +125,11 @@
             let has_attempts = endpoint.own_attempts > 0;
             endpoint.is_monitored =
                 endpoint.is_ready() && (has_attempts || endpoint.ejected_until.is_some());
-            let stays = endpoint.is_monitored;
-            if stays && is_due && !endpoint.health_check_in_flight {
+            let remains_monitored = endpoint.is_monitored;
+            if remains_monitored && is_due && !endpoint.health_check_in_flight {
                 self.recheck(now, id, actions);
             }
-            stays
+            remains_monitored
         });
         self.state.monitored = monitored;
     }
@@ -140,8 +140,8 @@
             return now >= ejected_until;
         }
         let is_silent = endpoint.last_heard_at.max(self.state.resumed_at) + silence <= now;
-        let not_checked_lately = endpoint.health_checked_at + divide(silence, 2) <= now;
-        endpoint.own_attempts > 0 && is_silent && not_checked_lately
+        let no_recent_check = endpoint.health_checked_at + divide(silence, 2) <= now;
+        endpoint.own_attempts > 0 && is_silent && no_recent_check
     }
 
     /// Where health checks are not allowed, an ejection that has ended leads to probation at once.
@@ -164,7 +164,7 @@
         }
         let gap_us = self.state.request_gap_us;
         let interval = from_micros_f64((gap_us * count as f64).max(MIN_REFRESH_INTERVAL_US));
-        self.earn_refresh_credit(now, count);
+        self.accrue_refresh_credit(now, count);
         for _ in 0..count.min(REFRESHES_PER_TICK) {
             self.state.refresh_cursor = (self.state.refresh_cursor + 1) % count;
             let id = self.preferences[0].candidates()[self.state.refresh_cursor].endpoint;
@@ -179,16 +179,16 @@
         }
     }
 
-    fn earn_refresh_credit(&mut self, now: Timestamp, count: usize) {
-        let endpoints_to_itself = 1.0 - self.settings.instance_count as f64 / count as f64;
-        let share = (REFRESH_SHARE_SLOPE * endpoints_to_itself).clamp(0.0, 1.0);
-        let max_credit = share * count as f64;
-        let earned = match self.state.refresh_credited_at.replace(now) {
-            Some(since) if share < 1.0 => {
-                now.micros_since(since) as f64 / self.state.request_gap_us.max(1.0) * share
+    fn accrue_refresh_credit(&mut self, now: Timestamp, count: usize) {
+        let surplus_share = 1.0 - self.settings.instance_count as f64 / count as f64;
+        let refresh_share = (REFRESH_SHARE_SLOPE * surplus_share).clamp(0.0, 1.0);
+        let max_credit = refresh_share * count as f64;
+        let accrued = match self.state.refresh_credited_at.replace(now) {
+            Some(since) if refresh_share < 1.0 => {
+                now.micros_since(since) as f64 / self.state.request_gap_us.max(1.0) * refresh_share
             }
             _ => max_credit,
         };
-        self.state.refresh_credit = (self.state.refresh_credit + earned).min(max_credit);
+        self.state.refresh_credit = (self.state.refresh_credit + accrued).min(max_credit);
     }
 }
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -6,7 +6,7 @@
 //! have not are cancelled.
 
 use super::Balancer;
-use super::selection::EndpointQueue;
+use super::selection::EndpointQueueing;
 use crate::api::{Action, AttemptProgress, Progress, RequestId, Timestamp};
 use crate::state::{Attempt, Request};
 
@@ -24,9 +24,9 @@
             endpoint,
             progress,
         } = progress;
-        self.note_alive(now, endpoint);
+        self.mark_alive(now, endpoint);
         if progress == Progress::Started {
-            self.on_start(now, request, attempt_index, endpoint);
+            self.on_attempt_started(now, request, attempt_index, endpoint);
             self.cancel_other_attempts(request, attempt_index, actions);
         }
         self.state.note_progress(now, request, attempt_index);
@@ -54,12 +54,13 @@
         if !self.settings.hedging {
             return;
         }
-        let moves_unstarted = self.settings.reports_start && self.settings.cancellation;
+        let can_move_unstarted = self.settings.reports_start && self.settings.cancellation;
         let mut open_requests = self.state.requests.values();
-        self.state.awaits_start = moves_unstarted
+        self.state.awaits_start = can_move_unstarted
             && open_requests.any(|request| request.attempts.iter().any(is_unstarted));
-        let needs_hedge =
-            |request: &Request| !request.is_done && self.needs_hedge(now, request, moves_unstarted);
+        let needs_hedge = |request: &Request| {
+            !request.is_done && self.needs_hedge(now, request, can_move_unstarted)
+        };
         let requests = self
             .state
             .requests
@@ -67,17 +68,17 @@
             .filter(|(_, request)| needs_hedge(request));
         let ids: Vec<RequestId> = requests.map(|(&id, _)| id).collect();
         for id in ids {
-            self.try_send(now, id, EndpointQueue::Avoided, actions);
+            self.try_send(now, id, EndpointQueueing::Avoided, actions);
         }
     }
 
-    fn needs_hedge(&self, now: Timestamp, request: &Request, moves_unstarted: bool) -> bool {
+    fn needs_hedge(&self, now: Timestamp, request: &Request, can_move_unstarted: bool) -> bool {
         let Some(attempt) = request.only_attempt_in_flight() else {
             return false;
         };
-        let prompt_start_by = self.prompt_by(attempt.sent_at);
-        let is_late = moves_unstarted && !attempt.has_started && now >= prompt_start_by;
-        is_late
+        let start_due_at = self.idle_response_due_at(attempt.sent_at);
+        let start_is_late = can_move_unstarted && !attempt.has_started && now >= start_due_at;
+        start_is_late
             || attempt.is_overdue
             || self
                 .state
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -14,35 +14,35 @@
 const REPORT_LIFETIME_RUNS: f64 = 3.0;
 /// Time constant of an endpoint's throughput, and the step of the mean one's.
 const THROUGHPUT_TIME_CONSTANT_US: f64 = 2_000_000.0;
-const FLEET_THROUGHPUT_STEP: f64 = 0.05;
+const FLEET_THROUGHPUT_EWMA_WEIGHT: f64 = 0.05;
 /// Step of the mean use of a zone's endpoints, and the largest use that counts, as a share of the
 /// slots.
-const REPORT_STEP: f64 = 0.05;
+const ZONE_USAGE_EWMA_WEIGHT: f64 = 0.05;
 const MAX_ZONE_USAGE: f64 = 2.0;
 
 /// How far a report is believed.
 #[derive(Clone, Copy)]
-struct Trust {
+struct ReportWeights {
     /// Weight of the report against the mean of the zone, from 0 to 1; `None`: the mean does not
     /// count.
-    report: Option<f64>,
+    against_zone_mean: Option<f64>,
     /// Weight of the new belief against the previous one, from 0 to 1.
-    step: f64,
+    against_estimate: f64,
 }
 
 impl Balancer {
-    pub(super) fn on_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
+    pub(super) fn on_load_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
         let endpoint = self.state.endpoint(id);
         let kind = endpoint.kind;
         let elapsed_us = now.micros_since(endpoint.reported_at) as f64;
         let usage_weight = ewma_weight(elapsed_us, USAGE_TIME_CONSTANT_US);
-        let trust = self.trust_in_report(now, id, usage_weight);
+        let weights = self.report_weights(now, id, usage_weight);
         let learnt = self.state.learn_slots(kind, report.free_slots);
         self.learn_throughput(id, &report, elapsed_us);
-        self.note_report(now, id, report);
+        self.store_report(now, id, report);
         if let Some(free_slots) = report.free_slots {
             let busy_slots = self.busy_slots(&report, learnt.slots, free_slots);
-            self.learn_others_slots(now, id, learnt.slots, busy_slots, trust);
+            self.learn_others_slots(now, id, learnt.slots, busy_slots, weights);
         }
         if let Some(free_memory) = report.free_memory {
             let endpoint = self.state.endpoint_mut(id);
@@ -57,19 +57,19 @@
     /// An old report shows capacity that others have taken since. Not where dispatchers outnumber
     /// endpoints: there a request that takes a whole endpoint would never find one, and spare slots
     /// make up for what has changed.
-    fn trust_in_report(&self, now: Timestamp, id: EndpointId, usage_weight: f64) -> Trust {
+    fn report_weights(&self, now: Timestamp, id: EndpointId, usage_weight: f64) -> ReportWeights {
         let is_large_polled_fleet = self.is_large_polled_fleet();
         let in_slow_start = self
             .time_in_slow_start(now, self.state.endpoint(id))
             .is_some();
         let lifetime_us = REPORT_LIFETIME_RUNS * self.state.mean_run_us;
-        Trust {
-            report: if in_slow_start || is_large_polled_fleet {
+        ReportWeights {
+            against_zone_mean: if in_slow_start || is_large_polled_fleet {
                 None
             } else {
                 Some(decay(self.state.report_interval_us, lifetime_us))
             },
-            step: if is_large_polled_fleet {
+            against_estimate: if is_large_polled_fleet {
                 1.0
             } else {
                 usage_weight
@@ -88,13 +88,13 @@
                 .learn(rate, utilization, weight);
             self.state
                 .fleet_throughput
-                .learn(rate, utilization, FLEET_THROUGHPUT_STEP);
+                .learn(rate, utilization, FLEET_THROUGHPUT_EWMA_WEIGHT);
         }
     }
 
     /// Keeps the report of the load; the throughput differs from report to report even where the
     /// load was not refreshed.
-    fn note_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
+    fn store_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
         let load = LoadReport {
             requests_per_second: None,
             cpu_utilization: None,
@@ -119,7 +119,7 @@
         id: EndpointId,
         slots: f64,
         busy_slots: f64,
-        trust: Trust,
+        weights: ReportWeights,
     ) {
         let endpoint = &mut self.state.endpoints[id.index()];
         let zone = &mut self.state.zone_usage[endpoint.zone.0];
@@ -127,12 +127,12 @@
         zone.learn(
             now,
             (reported / slots.max(1.0)).min(MAX_ZONE_USAGE),
-            REPORT_STEP,
+            ZONE_USAGE_EWMA_WEIGHT,
         );
         let mean = zone.share * slots;
-        let believed = trust
-            .report
+        let estimate = weights
+            .against_zone_mean
             .map_or(reported, |weight| mean + weight * (reported - mean));
-        endpoint.others_slots += trust.step * (believed - endpoint.others_slots);
+        endpoint.others_slots += weights.against_estimate * (estimate - endpoint.others_slots);
     }
 }
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -103,8 +103,8 @@
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         match event {
-            Event::EndpointList { kind, entries } => self.on_list(now, kind, entries),
-            Event::RequestArrived(request) => self.on_request(now, request, actions),
+            Event::EndpointList { kind, entries } => self.on_endpoint_list(now, kind, entries),
+            Event::RequestArrived(request) => self.on_request_arrived(now, request, actions),
             Event::AttemptEnded(result) => self.on_attempt_ended(now, result, actions),
             Event::AttemptProgressed(progress) => self.on_progress(now, progress, actions),
             Event::ClientDisconnected { request } => self.finish(request, actions),
@@ -134,7 +134,7 @@
         let after = if self.state.requests.is_empty() {
             IDLE_TICKS * tick
         } else if self.state.awaits_start {
-            self.prompt_response_time().min(tick)
+            self.idle_response_time().min(tick)
         } else {
             tick
         };
@@ -152,14 +152,14 @@
         }
         self.check_monitored(now, actions);
         self.refresh_reports(now, actions);
-        self.note_missed_starts(now);
-        self.release_overdue(now);
+        self.record_missed_starts(now);
+        self.release_overdue_attempts(now);
         self.hedge(now, actions);
         self.serve_queue(now, actions);
     }
 
-    fn on_list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry]) {
-        self.on_source_state(now, kind);
+    fn on_endpoint_list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry]) {
+        self.schedule_subscription(now, kind);
         if self.state.last_idempotent_at == Timestamp::ORIGIN {
             self.state.last_idempotent_at = now;
         }
@@ -169,22 +169,24 @@
 
     /// Only the simulator's host subscribes on these timers. A dispatcher watches discovery from
     /// its first configuration on, at the pace of its own call schedule.
-    fn on_source_state(&mut self, now: Timestamp, kind: ListKind) {
+    fn schedule_subscription(&mut self, now: Timestamp, kind: ListKind) {
         let interval = self.settings.max_poll_interval;
         match kind {
             ListKind::Bootstrap if self.settings.polls_discovery => {
-                let latest = whole_micros(divide(interval, FIRST_SUBSCRIPTION_DIVISOR));
-                self.state.subscribe_at = Some(now + self.random_duration(0..=latest));
+                let max_delay_us = whole_micros(divide(interval, FIRST_SUBSCRIPTION_DIVISOR));
+                self.state.subscribe_at = Some(now + self.random_duration(0..=max_delay_us));
             }
             ListKind::SourceLost => {
                 let doublings = self
                     .state
                     .subscribe_failures
                     .min(MAX_RESUBSCRIPTION_DOUBLINGS);
-                let backoff = whole_micros(divide(interval, RESUBSCRIPTION_DIVISOR)) << doublings;
+                let backoff_us =
+                    whole_micros(divide(interval, RESUBSCRIPTION_DIVISOR)) << doublings;
                 self.state.subscribe_failures += 1;
-                let jitter = self.random_duration(0..=backoff);
-                self.state.subscribe_at = Some(now + Duration::from_micros(backoff / 2) + jitter);
+                let jitter = self.random_duration(0..=backoff_us);
+                self.state.subscribe_at =
+                    Some(now + Duration::from_micros(backoff_us / 2) + jitter);
             }
             ListKind::Delta | ListKind::Snapshot | ListKind::Bootstrap => {
                 self.state.subscribe_failures = 0;
@@ -198,14 +200,14 @@
     }
 
     /// The time in which an idle endpoint answers a health check or reports the start of a request.
-    fn prompt_response_time(&self) -> Duration {
+    fn idle_response_time(&self) -> Duration {
         2 * self.settings.timer_resolution + from_micros_f64(2.0 * self.state.health_check_us)
     }
 
     /// When an idle endpoint has answered what was sent at this time: a health check with its
     /// report, a request with its start. Time during a stall of ours does not count.
-    fn prompt_by(&self, sent_at: Timestamp) -> Timestamp {
-        sent_at.max(self.state.resumed_at) + self.prompt_response_time()
+    fn idle_response_due_at(&self, sent_at: Timestamp) -> Timestamp {
+        sent_at.max(self.state.resumed_at) + self.idle_response_time()
     }
 
     fn tick_interval(&self) -> Duration {
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -13,20 +13,20 @@
 /// An endpoint that rejected a request gets no other for this long.
 pub(super) const REJECTION_BACKOFF: Duration = Duration::from_secs(1);
 /// Step of an endpoint's error rate with each response.
-const ERROR_RATE_STEP: f64 = 0.2;
+const ERROR_RATE_EWMA_WEIGHT: f64 = 0.2;
 
 impl Balancer {
-    pub(super) fn note_response(&mut self, now: Timestamp, result: &AttemptResult) {
+    pub(super) fn record_response(&mut self, now: Timestamp, result: &AttemptResult) {
         if !matches!(
             result.outcome,
             Outcome::Success | Outcome::Error | Outcome::Rejected
         ) {
             return;
         }
-        self.note_alive(now, result.endpoint);
+        self.mark_alive(now, result.endpoint);
         let is_error = f64::from(u8::from(result.outcome == Outcome::Error));
         let error_rate = &mut self.state.endpoint_mut(result.endpoint).error_rate;
-        *error_rate += ERROR_RATE_STEP * (is_error - *error_rate);
+        *error_rate += ERROR_RATE_EWMA_WEIGHT * (is_error - *error_rate);
     }
 
     pub(super) fn learn_from_outcome(
@@ -43,9 +43,9 @@
             }
             Outcome::ConnectFailed | Outcome::Reset => self.suspect(now, result.endpoint, actions),
             Outcome::Cancelled if !attempt.has_started => {
-                let prompt_start_by = self.prompt_by(attempt.sent_at);
-                if now > prompt_start_by {
-                    self.note_cancelled_in_queue(now, result.endpoint);
+                let start_due_at = self.idle_response_due_at(attempt.sent_at);
+                if now > start_due_at {
+                    self.back_off_after_queue_cancellation(now, result.endpoint);
                 }
             }
             Outcome::Error | Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
@@ -73,7 +73,7 @@
     }
 
     /// An endpoint has made progress with a request or ended it.
-    pub(super) fn note_alive(&mut self, now: Timestamp, id: EndpointId) {
+    pub(super) fn mark_alive(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
         endpoint.last_response_at = now;
--- a/crates/decisions/src/policy/outlier.rs
+++ b/crates/decisions/src/policy/outlier.rs
@@ -25,7 +25,7 @@
 const MIN_UTILIZATION: f64 = 0.3;
 /// An endpoint is slow if it completes less than this share of what the mean one does at the same
 /// utilization.
-const SLOW_THROUGHPUT: f64 = 0.4;
+const SLOW_THROUGHPUT_RATIO: f64 = 0.4;
 /// An endpoint is failing above this error rate, beyond this multiple of the mean rate of the
 /// others.
 const MIN_ERROR_RATE: f64 = 0.1;
@@ -40,7 +40,7 @@
         let mean = &self.state.fleet_throughput;
         own.cpu_utilization > MIN_UTILIZATION
             && own.requests_per_second * mean.cpu_utilization
-                < SLOW_THROUGHPUT * mean.requests_per_second * own.cpu_utilization
+                < SLOW_THROUGHPUT_RATIO * mean.requests_per_second * own.cpu_utilization
     }
 
     /// Whether an endpoint answers with errors far more often than the others. It would always have
@@ -50,14 +50,14 @@
         if endpoint.error_rate <= MIN_ERROR_RATE {
             return false;
         }
-        let listed = || {
+        let ready = || {
             self.state
                 .endpoints
                 .iter()
                 .filter(|endpoint| endpoint.is_ready())
         };
-        let sum: f64 = listed().map(|endpoint| endpoint.error_rate).sum();
-        let mean_of_others = (sum - endpoint.error_rate) / (listed().count() as f64 - 1.0);
+        let sum: f64 = ready().map(|endpoint| endpoint.error_rate).sum();
+        let mean_of_others = (sum - endpoint.error_rate) / (ready().count() as f64 - 1.0);
         endpoint.error_rate > MIN_ERROR_RATE + ERROR_RATE_MULTIPLE * mean_of_others
     }
 
--- a/crates/decisions/src/policy/overdue.rs
+++ b/crates/decisions/src/policy/overdue.rs
@@ -29,7 +29,7 @@
 
 impl Balancer {
     /// Releases what overdue attempts take, and draws the conclusions.
-    pub(super) fn release_overdue(&mut self, now: Timestamp) {
+    pub(super) fn release_overdue_attempts(&mut self, now: Timestamp) {
         for overdue in self.mark_overdue(now) {
             let OverdueAttempt {
                 attempt,
@@ -53,13 +53,13 @@
         let mut overdue = Vec::new();
         let resumed_at = self.state.resumed_at;
         for request in self.state.requests.values_mut() {
-            let patience = patience_for(&self.settings, request);
+            let max_silence = allowed_silence(&self.settings, request);
             let (slots, memory) = (request.slots, request.memory);
             for attempt in &mut request.attempts {
                 if !attempt.is_in_flight() || attempt.is_overdue {
                     continue;
                 }
-                attempt.is_overdue = now > attempt.last_heard_at.max(resumed_at) + patience;
+                attempt.is_overdue = now > attempt.last_heard_at.max(resumed_at) + max_silence;
                 if attempt.is_overdue {
                     overdue.push(OverdueAttempt {
                         attempt: *attempt,
@@ -74,26 +74,26 @@
 
     fn limit_idle_connections(&mut self, now: Timestamp, attempt: &Attempt) {
         let was_idle = attempt.connection_idle > 2 * self.tick_interval();
-        let endpoint_is_well =
+        let endpoint_is_responsive =
             self.state.endpoint(attempt.endpoint).last_heard_at > attempt.sent_at;
-        let connection_failed = endpoint_is_well && !attempt.has_started && was_idle;
+        let connection_failed = endpoint_is_responsive && !attempt.has_started && was_idle;
         if !self.settings.reports_start || !connection_failed {
             return;
         }
         let state = &mut self.state;
-        let known = if now < state.idle_connection_limit_until {
+        let current_limit = if now < state.idle_connection_limit_until {
             state.idle_connection_limit
         } else {
             Duration::MAX
         };
         state.idle_connection_limit =
-            known.min(divide(attempt.connection_idle, 4) * IDLE_LIMIT_QUARTERS);
+            current_limit.min(divide(attempt.connection_idle, 4) * IDLE_LIMIT_QUARTERS);
         state.idle_connection_limit_until = now + IDLE_LIMIT_LIFETIME;
     }
 }
 
 /// How long an attempt of the request may be silent.
-fn patience_for(settings: &Settings, request: &Request) -> Duration {
+fn allowed_silence(settings: &Settings, request: &Request) -> Duration {
     let interval = settings.progress_interval;
     let silence = match request.work_hint {
         Some(work) => interval.min(2 * work),
--- a/crates/decisions/src/policy/preference.rs
+++ b/crates/decisions/src/policy/preference.rs
@@ -18,11 +18,11 @@
 use std::borrow::Cow;
 
 /// Blocks in each of the home zone and all other zones.
-const BLOCKS_PER_ZONE: u8 = 3;
-const BLOCKS: u8 = 2 * BLOCKS_PER_ZONE;
+const BLOCKS_PER_ZONE_GROUP: u8 = 3;
+const BLOCKS: u8 = 2 * BLOCKS_PER_ZONE_GROUP;
 /// Blocks within a zone, in order.
-const OPEN_KINDS: u8 = 0;
-const NEEDED_KINDS: u8 = 1;
+const GENERAL_KINDS: u8 = 0;
+const REQUIRED_KINDS: u8 = 1;
 const SLOW_KINDS: u8 = 2;
 /// A kind is slow if its size for its slots, times the smallest objective stretch, is below this
 /// multiple of the mean.
@@ -66,7 +66,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
     SlowStart,
-    Usual,
+    Normal,
     Slow,
     LostZone,
 }
@@ -83,10 +83,10 @@
     /// Works the order out anew, after a change of the list or of learnt slots.
     pub(super) fn rebuild_preferences(&mut self) {
         let by_name = self.state.by_name.iter().copied();
-        let listed: Vec<_> = by_name
+        let ready: Vec<_> = by_name
             .filter(|&id| self.state.endpoint(id).is_ready())
             .collect();
-        let totals = self.kind_totals(&listed);
+        let totals = self.kind_totals(&ready);
         let size: f64 = totals.iter().map(|kind| kind.size).sum();
         let slots: f64 = totals.iter().map(|kind| kind.slots).sum();
         let mean_size_per_slot = size / slots;
@@ -101,13 +101,13 @@
             let KindTotals { size, slots } = totals[kind.0];
             size / slots * smallest_stretch < SLOW_KIND_MULTIPLE * mean_size_per_slot
         };
-        let order = |class| self.preference_order(class, &listed, &is_slow_kind);
+        let order = |class| self.preference_order(class, &ready, &is_slow_kind);
         self.preferences = classes.iter().map(order).collect();
     }
 
-    fn kind_totals(&self, listed: &[EndpointId]) -> Vec<KindTotals> {
+    fn kind_totals(&self, ready: &[EndpointId]) -> Vec<KindTotals> {
         let mut totals = vec![KindTotals::default(); self.settings.kind_count];
-        for endpoint in listed.iter().map(|&id| self.state.endpoint(id)) {
+        for endpoint in ready.iter().map(|&id| self.state.endpoint(id)) {
             let kind = &mut totals[endpoint.kind.0];
             kind.size += if endpoint.relative_size > 0.0 {
                 endpoint.relative_size
@@ -122,11 +122,11 @@
     fn preference_order(
         &self,
         class: &Class,
-        listed: &[EndpointId],
+        ready: &[EndpointId],
         is_slow_kind: &impl Fn(KindId) -> bool,
     ) -> PreferenceOrder {
         let classes = &self.settings.classes;
-        let is_needed = |kind| {
+        let is_required = |kind| {
             classes
                 .iter()
                 .flat_map(|class| &class.allowed_kinds)
@@ -135,26 +135,26 @@
         let block_of_kind = |kind: KindId| {
             if is_slow_kind(kind) {
                 SLOW_KINDS
-            } else if class.allowed_kinds.is_none() && is_needed(kind) {
-                NEEDED_KINDS
+            } else if class.allowed_kinds.is_none() && is_required(kind) {
+                REQUIRED_KINDS
             } else {
-                OPEN_KINDS
+                GENERAL_KINDS
             }
         };
         let mut order = PreferenceOrder::default();
         for block in 0..BLOCKS {
-            let is_home_block = block < BLOCKS_PER_ZONE;
-            let belongs = |endpoint: &Endpoint| {
+            let is_home_block = block < BLOCKS_PER_ZONE_GROUP;
+            let is_member = |endpoint: &Endpoint| {
                 (Some(endpoint.zone) == self.settings.home_zone) == is_home_block
-                    && block_of_kind(endpoint.kind) == block % BLOCKS_PER_ZONE
+                    && block_of_kind(endpoint.kind) == block % BLOCKS_PER_ZONE_GROUP
                     && class.allows(endpoint.zone, endpoint.kind)
             };
-            let members: Vec<_> = listed
+            let members: Vec<_> = ready
                 .iter()
                 .copied()
-                .filter(|&id| belongs(self.state.endpoint(id)))
+                .filter(|&id| is_member(self.state.endpoint(id)))
                 .collect();
-            let ordered = self.in_own_order(&members);
+            let ordered = self.order_for_instance(&members);
             order
                 .candidates
                 .extend(ordered.map(|endpoint| Candidate { block, endpoint }));
@@ -169,7 +169,7 @@
     ///
     /// Where dispatchers share starts, what leaves one full endpoint would all go to the same next
     /// one, so each goes on in steps of its own that meet every member once.
-    fn in_own_order(&self, members: &[EndpointId]) -> impl Iterator<Item = EndpointId> {
+    fn order_for_instance(&self, members: &[EndpointId]) -> impl Iterator<Item = EndpointId> {
         let count = members.len();
         let start = count * self.settings.instance_index / self.settings.instance_count;
         let mut step = 1;
@@ -190,7 +190,7 @@
         now: Timestamp,
         request: &Request,
         across_zones: bool,
-        home_is_lost: bool,
+        home_zone_is_lost: bool,
     ) -> Cow<'_, [Candidate]> {
         let order = &self.preferences[request.class.0];
         let mut candidates = Cow::Borrowed(if across_zones {
@@ -203,7 +203,7 @@
                 now,
                 request,
                 across_zones,
-                home_is_lost,
+                home_zone_is_lost,
                 candidates.to_mut(),
             );
         }
@@ -218,7 +218,7 @@
         now: Timestamp,
         request: &Request,
         across_zones: bool,
-        home_is_lost: bool,
+        home_zone_is_lost: bool,
         candidates: &mut Vec<Candidate>,
     ) {
         let polled = self.is_large_polled_fleet();
@@ -226,7 +226,7 @@
             let endpoint = self.state.endpoint(candidate.endpoint);
             endpoint.ejected_until.is_none() && (across_zones || !self.is_slow(endpoint))
         });
-        self.keep_affinity_endpoints(now, request, candidates);
+        self.retain_affinity_endpoints(now, request, candidates);
         let affinity = |endpoint: &Endpoint| {
             request
                 .affinity_key
@@ -234,14 +234,14 @@
         };
         candidates.sort_by_cached_key(|candidate| {
             let endpoint = self.state.endpoint(candidate.endpoint);
-            let rank = if home_is_lost && Some(endpoint.zone) == self.settings.home_zone {
+            let rank = if home_zone_is_lost && Some(endpoint.zone) == self.settings.home_zone {
                 Rank::LostZone
             } else if polled && self.time_in_slow_start(now, endpoint).is_some() {
                 Rank::SlowStart
             } else if self.is_slow(endpoint) {
                 Rank::Slow
             } else {
-                Rank::Usual
+                Rank::Normal
             };
             (rank, candidate.block, affinity(endpoint))
         });
@@ -253,7 +253,7 @@
     /// Otherwise every endpoint would fetch what any request is about, and all would wait for the
     /// store that they fetch it from. While these few are full the request waits a little: a fetch
     /// elsewhere would keep all full for longer.
-    fn keep_affinity_endpoints(
+    fn retain_affinity_endpoints(
         &self,
         now: Timestamp,
         request: &Request,
@@ -269,10 +269,10 @@
         let waited_us = now.micros_since(request.started_at) as f64;
         let count = (candidates.len() / AFFINITY_DIVISOR).max(MIN_AFFINITY_ENDPOINTS);
         if waited_us < objective_us * AFFINITY_WAIT && count < candidates.len() {
-            let distance = |candidate: &Candidate| {
+            let affinity_hash = |candidate: &Candidate| {
                 hash(key ^ self.state.endpoint(candidate.endpoint).name_hash)
             };
-            candidates.select_nth_unstable_by_key(count, distance);
+            candidates.select_nth_unstable_by_key(count, affinity_hash);
             candidates.truncate(count);
         }
     }
--- a/crates/decisions/src/policy/quota.rs
+++ b/crates/decisions/src/policy/quota.rs
@@ -14,7 +14,7 @@
 impl Balancer {
     /// The share of its class's priority weight that a request of this tenant keeps, from 0 to 1.
     /// Counts the request.
-    pub(super) fn quota_weight(&mut self, now: Timestamp, tenant: Option<TenantId>) -> f64 {
+    pub(super) fn count_against_quota(&mut self, now: Timestamp, tenant: Option<TenantId>) -> f64 {
         let over_quota = self.settings.over_quota_weight;
         let Some(TenantId(tenant)) = tenant else {
             return if self.settings.tenants.is_empty() {
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -2,40 +2,40 @@
 
 use super::Balancer;
 use super::health_checks::{CREDIT_PER_REQUEST, MAX_CREDIT};
-use super::selection::{EndpointQueue, Selection};
+use super::selection::{EndpointQueueing, Selection};
 use crate::api::{Action, Idempotency, IncomingRequest, RequestId, Timestamp};
 use crate::state::{LEARNING_RATE, Request};
 
 /// Step of the mean time between requests, and the longest time that counts.
-const REQUEST_GAP_STEP: f64 = 0.1;
+const REQUEST_GAP_EWMA_WEIGHT: f64 = 0.1;
 const MAX_REQUEST_GAP_US: u64 = 1_000_000;
 
 impl Balancer {
     /// Takes a request in, and sends it or queues it.
-    pub(super) fn on_request(
+    pub(super) fn on_request_arrived(
         &mut self,
         now: Timestamp,
         incoming: IncomingRequest,
         actions: &mut Vec<Action>,
     ) {
         let id = incoming.request;
-        self.note_arrival(now, &incoming);
-        let request = self.open(now, incoming);
+        self.record_arrival(now, &incoming);
+        let request = self.new_request(now, incoming);
         self.state.requests.insert(id, request);
         if !matches!(
-            self.try_send(now, id, EndpointQueue::Avoided, actions),
+            self.try_send(now, id, EndpointQueueing::Avoided, actions),
             Selection::Send(_)
         ) {
             self.enqueue(now, id, actions);
         }
     }
 
-    fn note_arrival(&mut self, now: Timestamp, incoming: &IncomingRequest) {
+    fn record_arrival(&mut self, now: Timestamp, incoming: &IncomingRequest) {
         let state = &mut self.state;
         let gap_us = now
             .micros_since(state.last_request_at)
             .min(MAX_REQUEST_GAP_US) as f64;
-        state.request_gap_us += REQUEST_GAP_STEP * (gap_us - state.request_gap_us);
+        state.request_gap_us += REQUEST_GAP_EWMA_WEIGHT * (gap_us - state.request_gap_us);
         state.last_request_at = now;
         state.health_check_credit =
             (state.health_check_credit + CREDIT_PER_REQUEST).min(MAX_CREDIT);
@@ -49,7 +49,7 @@
 
     /// A client that sends its request again has less time left than at its first attempt: the
     /// difference to the longest remaining time of the class tells when it first came.
-    fn open(&mut self, now: Timestamp, incoming: IncomingRequest) -> Request {
+    fn new_request(&mut self, now: Timestamp, incoming: IncomingRequest) -> Request {
         let longest_remaining = self.state.classes[incoming.class.0].longest_remaining;
         let class_weight = self.settings.classes[incoming.class.0].priority_weight;
         Request {
@@ -59,7 +59,7 @@
             slots: incoming.slots,
             memory: incoming.memory,
             work_hint: incoming.work_hint,
-            priority_weight: class_weight * self.quota_weight(now, incoming.tenant),
+            priority_weight: class_weight * self.count_against_quota(now, incoming.tenant),
             affinity_key: incoming.affinity_key,
             attempts: Vec::new(),
             is_done: false,
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -24,10 +24,10 @@
             return;
         };
         self.release_attempt(now, id, &attempt);
-        self.note_response(now, &result);
+        self.record_response(now, &result);
         self.learn_from_outcome(now, &result, &attempt, actions);
         if let Some(report) = result.report {
-            self.on_report(now, result.endpoint, report);
+            self.on_load_report(now, result.endpoint, report);
         }
         if result.request_done || result.outcome == Outcome::Success {
             self.finish(id, actions);
@@ -79,7 +79,7 @@
 
     /// Gives the final response to a request that will not be served.
     pub(super) fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
-        let retry_after = self.draw_retry_after();
+        let retry_after = self.random_retry_after();
         let Some(request) = self
             .state
             .requests
@@ -100,7 +100,7 @@
     }
 
     /// A random back-off, so that clients that were shed together do not return together.
-    fn draw_retry_after(&mut self) -> Option<Duration> {
+    fn random_retry_after(&mut self) -> Option<Duration> {
         if !self.settings.retry_after {
             return None;
         }
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -7,7 +7,7 @@
 //! crossing zones just before the home zone has capacity.
 
 use super::Balancer;
-use super::capacity::BELIEF_TIME_CONSTANT_US;
+use super::capacity::LOAD_ESTIMATE_TIME_CONSTANT_US;
 use super::preference::Candidate;
 use crate::api::{Action, EndpointId, RequestId, Timestamp};
 use crate::rules::Permission;
@@ -20,16 +20,16 @@
 /// Health checks sent for one request before it is sent on belief alone.
 const MAX_CHECKS_PER_REQUEST: u32 = 4;
 /// Reports that change within this share of a mean running time describe the present.
-const CURRENT_REPORT_RUNS: f64 = 0.33;
+const CURRENT_REPORT_INTERVAL_RUNS: f64 = 0.33;
 /// News of an endpoint is recent for this share of a mean running time.
-const RECENT_NEWS_RUNS: f64 = 0.25;
+const RECENT_UPDATE_RUNS: f64 = 0.25;
 /// The price of crossing zones is the share of its objective that a request waits for the home
 /// zone, up to this.
 const MAX_HOME_ZONE_WAIT: f64 = 0.5;
 
 /// Whether a request may be sent to an endpoint where it would queue.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum EndpointQueue {
+pub(super) enum EndpointQueueing {
     /// Where that still meets its objective.
     Allowed,
     Avoided,
@@ -49,7 +49,7 @@
 }
 
 /// What holds for all endpoints that are considered for a request.
-struct Search<'a> {
+struct SelectionContext<'a> {
     now: Timestamp,
     request: &'a Request,
     permission: &'a Permission,
@@ -66,7 +66,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        endpoint_queue: EndpointQueue,
+        endpoint_queueing: EndpointQueueing,
         actions: &mut Vec<Action>,
     ) -> Selection {
         let request = &self.state.requests[&id];
@@ -74,7 +74,7 @@
         if permission.send.is_err() || now >= request.deadline {
             return Selection::Wait;
         }
-        let selection = self.select(now, request, &permission, endpoint_queue);
+        let selection = self.select(now, request, &permission, endpoint_queueing);
         match selection {
             Selection::CheckFirst(endpoint) => self.check_for_request(now, id, endpoint, actions),
             Selection::Send(endpoint) => self.send(now, id, endpoint, actions),
@@ -113,41 +113,42 @@
         now: Timestamp,
         request: &Request,
         permission: &Permission,
-        endpoint_queue: EndpointQueue,
+        endpoint_queueing: EndpointQueueing,
     ) -> Selection {
         let is_large_polled_fleet = self.is_large_polled_fleet();
-        let home_is_lost = is_large_polled_fleet
+        let home_zone_is_lost = is_large_polled_fleet
             && self
                 .settings
                 .home_zone
                 .is_some_and(|zone| self.is_zone_lost(zone));
-        let across_zones = home_is_lost || self.may_cross_zones(now, request);
-        let search = Search {
+        let across_zones = home_zone_is_lost || self.may_cross_zones(now, request);
+        let context = SelectionContext {
             now,
             request,
             permission,
             recent_since: now
-                .saturating_sub(from_micros_f64(RECENT_NEWS_RUNS * self.state.mean_run_us)),
+                .saturating_sub(from_micros_f64(RECENT_UPDATE_RUNS * self.state.mean_run_us)),
             reports_are_current: self.can_poll_load()
-                && self.state.report_interval_us < CURRENT_REPORT_RUNS * self.state.mean_run_us,
+                && self.state.report_interval_us
+                    < CURRENT_REPORT_INTERVAL_RUNS * self.state.mean_run_us,
         };
-        let candidates = self.candidates_for(now, request, across_zones, home_is_lost);
-        let rounds: &[f64] = if is_large_polled_fleet {
+        let candidates = self.candidates_for(now, request, across_zones, home_zone_is_lost);
+        let spare_slots_by_pass: &[f64] = if is_large_polled_fleet {
             &[SPARE_SLOTS, 0.0]
         } else {
             &[0.0]
         };
-        for &spare_slots in rounds {
-            let mut considered = candidates.iter().map(|candidate| candidate.endpoint);
+        for &spare_slots in spare_slots_by_pass {
+            let mut endpoints = candidates.iter().map(|candidate| candidate.endpoint);
             if let Some(selection) =
-                considered.find_map(|id| self.consider(&search, id, spare_slots))
+                endpoints.find_map(|id| self.evaluate(&context, id, spare_slots))
             {
                 return selection;
             }
         }
-        let may_queue = endpoint_queue == EndpointQueue::Allowed;
+        let may_queue = endpoint_queueing == EndpointQueueing::Allowed;
         if may_queue && across_zones && !is_large_polled_fleet {
-            return self.select_by_queue(&search);
+            return self.select_for_queueing(&context);
         }
         Selection::NoCapacity
     }
@@ -159,26 +160,33 @@
     }
 
     /// What becomes of a request at one endpoint; `None`: the next one is considered.
-    fn consider(&self, search: &Search, id: EndpointId, spare_slots: f64) -> Option<Selection> {
-        let Search { now, request, .. } = *search;
+    fn evaluate(
+        &self,
+        context: &SelectionContext,
+        id: EndpointId,
+        spare_slots: f64,
+    ) -> Option<Selection> {
+        let SelectionContext { now, request, .. } = *context;
         let endpoint = self.state.endpoint(id);
         // With the fleet full on the mean, an endpoint without news would never be found free. Only
         // where reports are current: older ones show capacity that others have taken since.
-        let is_unknown = search.reports_are_current
-            && now.micros_since(endpoint.reported_at) as f64 > BELIEF_TIME_CONSTANT_US;
+        let load_is_unknown = context.reports_are_current
+            && now.micros_since(endpoint.reported_at) as f64 > LOAD_ESTIMATE_TIME_CONSTANT_US;
         let would_start = self.would_start_now(now, endpoint, request, spare_slots);
-        if !would_start && !is_unknown || !self.is_eligible(now, id, request, search.permission) {
+        if !would_start && !load_is_unknown
+            || !self.is_eligible(now, id, request, context.permission)
+        {
             return None;
         }
         let check_is_recent = self.relies_on_health_checks(endpoint)
-            && endpoint.health_checked_at >= search.recent_since
+            && endpoint.health_checked_at >= context.recent_since
             && !endpoint.health_check_in_flight;
-        let has_recent_news = endpoint.reported_at >= search.recent_since || check_is_recent;
-        if would_start && (has_recent_news || !self.can_poll_load()) {
+        let has_recent_update = endpoint.reported_at >= context.recent_since || check_is_recent;
+        if would_start && (has_recent_update || !self.can_poll_load()) {
             return Some(Selection::Send(id));
         }
         if endpoint.health_check_in_flight {
-            let response_due = self.prompt_by(endpoint.health_checked_at);
+            let response_due = self.idle_response_due_at(endpoint.health_checked_at);
             return (now <= response_due).then_some(Selection::Wait);
         }
         if request.health_checks < MAX_CHECKS_PER_REQUEST && self.state.health_check_credit >= 1.0 {
@@ -191,13 +199,13 @@
     ///
     /// Seldom open: requests that may wait long would fill the queues of all endpoints, and those
     /// that may not, though worth more for a slot's time, would never find a free slot.
-    fn select_by_queue(&self, search: &Search) -> Selection {
-        let Search {
+    fn select_for_queueing(&self, context: &SelectionContext) -> Selection {
+        let SelectionContext {
             now,
             request,
             permission,
             ..
-        } = *search;
+        } = *context;
         let would_start_soon = |candidate: &&Candidate| {
             self.is_eligible(now, candidate.endpoint, request, permission)
                 && self.would_start_soon(now, self.state.endpoint(candidate.endpoint), request)
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -16,7 +16,7 @@
 /// Turns in a window.
 const TURNS_PER_WINDOW: u64 = 2;
 /// The window slides, so it meets one turn more: all those together hand out the budget.
-const TURNS_MET_BY_WINDOW: u64 = TURNS_PER_WINDOW + 1;
+const TURNS_OVERLAPPING_WINDOW: u64 = TURNS_PER_WINDOW + 1;
 /// The grant for requests with a work hint, in mean requests of the heaviest class: one size for
 /// all of them, as there would always be one small enough for any dispatcher's share.
 const HINTED_GRANT: f64 = 2.0;
@@ -41,7 +41,7 @@
         }
         let cost = self.slow_start_cost(endpoint, request);
         let grant = if request.work_hint.is_some() {
-            HINTED_GRANT * self.heaviest_run_us()
+            HINTED_GRANT * self.longest_run_us()
         } else {
             cost
         };
@@ -50,7 +50,7 @@
             * capacity_share
             * self.slots_of(endpoint, request)
             * window_us;
-        let grants = budget / TURNS_MET_BY_WINDOW as f64 / grant;
+        let grants = budget / TURNS_OVERLAPPING_WINDOW as f64 / grant;
         // A single request known to be very heavy could overload the endpoint by itself.
         if grants < 1.0 {
             return false;
@@ -84,15 +84,15 @@
         now: Timestamp,
         endpoint: &Endpoint,
     ) -> Option<Duration> {
-        let overloads =
+        let overload_configured =
             self.settings.overload_multiple > 0.0 && !self.settings.overload_window.is_zero();
         let start_is_known = endpoint.started_at > Timestamp::ORIGIN;
         let age = now.saturating_duration_since(endpoint.started_at);
-        let is_slow_start = overloads
+        let in_slow_start = overload_configured
             && !endpoint.skips_slow_start
             && start_is_known
             && age < self.settings.slow_start_duration;
-        is_slow_start.then_some(age)
+        in_slow_start.then_some(age)
     }
 
     /// The share of its capacity that an endpoint has at this age: it grows evenly to 1.
@@ -116,7 +116,7 @@
         self.expected_run_us(request) * self.state.kind_run_ratio[endpoint.kind.0] * request.slots
     }
 
-    fn heaviest_run_us(&self) -> f64 {
+    fn longest_run_us(&self) -> f64 {
         self.state
             .classes
             .iter()
@@ -138,8 +138,8 @@
     /// dispatchers are dealt to zones.
     fn own_grants(&self, endpoint: &Endpoint, turn: u64, grants: f64) -> f64 {
         let offset = unit_hash(endpoint.process_hash ^ turn);
-        let place = (golden_multiple(self.settings.instance_index) + offset).fract();
+        let position = (golden_multiple(self.settings.instance_index) + offset).fract();
         let share = grants / self.settings.instance_count as f64;
-        share.floor() + f64::from(place < share.fract())
+        share.floor() + f64::from(position < share.fract())
     }
 }
--- a/crates/decisions/src/policy/start_signals.rs
+++ b/crates/decisions/src/policy/start_signals.rs
@@ -16,11 +16,11 @@
 /// The zone usage that a late start shows at least.
 const USAGE_AT_LATE_START: f64 = 1.5;
 /// The step of the zone usage towards either.
-const START_SIGNAL_STEP: f64 = 0.2;
+const START_SIGNAL_EWMA_WEIGHT: f64 = 0.2;
 
 impl Balancer {
     /// An attempt has reported its start.
-    pub(super) fn on_start(
+    pub(super) fn on_attempt_started(
         &mut self,
         now: Timestamp,
         request: RequestId,
@@ -38,39 +38,43 @@
         }
         let endpoint = self.state.endpoint(id);
         let slots = request.slots;
-        let left_by_us = self.slots_of(endpoint, request) - endpoint.own_slots;
+        let slots_without_ours = self.slots_of(endpoint, request) - endpoint.own_slots;
         let sent_at = attempt.sent_at;
-        let is_prompt = now <= sent_at + self.prompt_response_time();
-        if is_prompt && !attempt.start_was_missed && self.is_known_by_mean(endpoint) {
+        let is_prompt = now <= sent_at + self.idle_response_time();
+        if is_prompt && !attempt.start_was_missed && self.uses_zone_mean(endpoint) {
             let zone = &mut self.state.zone_usage[attempt.zone.0];
             zone.learn(
                 now,
                 zone.share.min(USAGE_AT_PROMPT_START),
-                START_SIGNAL_STEP,
+                START_SIGNAL_EWMA_WEIGHT,
             );
         }
         let endpoint = self.state.endpoint_mut(id);
         endpoint.unstarted_sends.retain(|&at| at != sent_at);
         if is_prompt {
             endpoint.queue_cancellations = 0;
-            endpoint.others_slots = endpoint.others_slots.min(left_by_us.max(0.0));
+            endpoint.others_slots = endpoint.others_slots.min(slots_without_ours.max(0.0));
         } else {
-            endpoint.others_slots = endpoint.others_slots.max(left_by_us + slots);
+            endpoint.others_slots = endpoint.others_slots.max(slots_without_ours + slots);
         }
     }
 
     /// Where load cannot be polled, a burst would fill the queues of all endpoints before the first
     /// response, and with it a report, tells of it. Starts that are late tell at once.
-    pub(super) fn note_missed_starts(&mut self, now: Timestamp) {
+    pub(super) fn record_missed_starts(&mut self, now: Timestamp) {
         if !self.settings.reports_start || !self.is_large_unpolled_fleet() {
             return;
         }
         for zone in self
             .state
-            .mark_missed_starts(now, self.prompt_response_time())
+            .mark_missed_starts(now, self.idle_response_time())
         {
             let zone = &mut self.state.zone_usage[zone.0];
-            zone.learn(now, zone.share.max(USAGE_AT_LATE_START), START_SIGNAL_STEP);
+            zone.learn(
+                now,
+                zone.share.max(USAGE_AT_LATE_START),
+                START_SIGNAL_EWMA_WEIGHT,
+            );
         }
     }
 
@@ -79,7 +83,7 @@
     /// An endpoint may show free slots into which the head of its queue does not fit. Each of many
     /// dispatchers would send it requests that wait behind that head, cancel them, and forget what
     /// it has seen.
-    pub(super) fn note_cancelled_in_queue(&mut self, now: Timestamp, id: EndpointId) {
+    pub(super) fn back_off_after_queue_cancellation(&mut self, now: Timestamp, id: EndpointId) {
         if !self.settings.reports_start || !self.is_large_polled_fleet() {
             return;
         }
