--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -1,9 +1,10 @@
-//! When a request gets a second attempt beside its first, and which of the two is cancelled.
+//! When a request gets a second attempt while its first is in flight, and which of the two is
+//! cancelled.
 //!
-//! A request is hedged when its only attempt has not started promptly, is overdue, or is at an
-//! ejected endpoint: it would be lost with an endpoint that hangs, or wait in a queue that an old
-//! load report did not show while another endpoint is free. Once an attempt starts, the ones that
-//! have not are cancelled.
+//! A request is hedged when its only attempt in flight has not started promptly, is overdue, or is
+//! at an endpoint that is suspected or ejected. It would otherwise be lost with an endpoint that
+//! hangs, or wait in a queue that an old load report did not show while another endpoint is free.
+//! Once an attempt starts, the attempts that have not started are cancelled.
 
 use super::Balancer;
 use super::selection::EndpointQueueing;
@@ -11,7 +12,7 @@
 use crate::state::{Attempt, Request};
 
 impl Balancer {
-    /// An attempt has reported its start, or how far it is.
+    /// Handles the progress of an attempt: its start, or the fraction that is done.
     pub(super) fn on_progress(
         &mut self,
         now: Timestamp,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Sends a second attempt of each request that needs one, where an endpoint would start it now.
+    /// Sends a second attempt of each request that needs one, if an endpoint would start it now.
     pub(super) fn hedge(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.settings.hedging {
             return;
@@ -72,6 +73,7 @@
         }
     }
 
+    /// Whether the only attempt of a request that is in flight is late or at risk.
     fn needs_hedge(&self, now: Timestamp, request: &Request, can_move_unstarted: bool) -> bool {
         let Some(attempt) = request.only_attempt_in_flight() else {
             return false;
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -1,29 +1,30 @@
-//! All decisions: which endpoint gets a request, when it is queued or shed, and what becomes of it
-//! when endpoints fail.
+//! The balancing policy: which endpoint gets a request, when a request is queued or shed, and how
+//! it is handled when endpoints fail.
 //!
-//! One module answers one question:
+//! Each module answers one question:
 //!
 //! | module | question |
 //! | --- | --- |
 //! | [`selection`] | Which endpoint gets a request? |
 //! | [`preference`] | In which order are endpoints considered? |
 //! | [`eligibility`] | Which endpoints may be sent a request at all? |
-//! | [`capacity`] | What load is an endpoint believed to have, and when would it start a request? |
-//! | [`slow_start`] | How much may an endpoint be sent that has just started? |
+//! | [`capacity`] | How loaded is an endpoint estimated to be, and when would it start a request? |
+//! | [`slow_start`] | How much may be sent to an endpoint that has just started? |
 //! | [`admission`] | Which requests are queued, in which order, and which are shed? |
-//! | [`quota`] | What is a request worth whose tenant exceeds its quota? |
-//! | [`requests`] | What happens at the arrival and at the end of a request? |
-//! | [`retry`] | When is a request sent again, and when is it given up? |
-//! | [`hedging`] | When does a request get a second attempt beside its first, and which one is cancelled? |
-//! | [`outcomes`] | What does the outcome of an attempt tell about its endpoint and class? |
-//! | [`overdue`] | When is an attempt without a word presumed lost? |
+//! | [`quota`] | Which priority weight does a request keep if its tenant exceeds its quota? |
+//! | [`requests`] | What happens when a request arrives and when it ends? |
+//! | [`retry`] | When is a request retried, and when does it end without being served? |
+//! | [`hedging`] | When does a request get a second attempt, and which of the two is cancelled? |
+//! | [`outcomes`] | What does the outcome of an attempt show about its endpoint and class? |
+//! | [`overdue`] | When is a silent attempt presumed lost? |
 //! | [`outlier`] | When is an endpoint ejected, on probation or avoided, and when is a zone lost? |
 //! | [`health_checks`] | When is an endpoint checked? |
-//! | [`load_reports`] | What does a load report tell about an endpoint? |
-//! | [`start_signals`] | What does the time until a request starts tell about an endpoint? |
+//! | [`load_reports`] | How does a load report update the estimates for an endpoint? |
+//! | [`start_signals`] | What does the time until a request starts show about an endpoint? |
 //!
-//! The records that these keep are plain data, in the module `state`. The order of endpoints
-//! follows the published Allocation Priority Policies; each module says where it departs from them.
+//! The records that these modules keep are plain data, in the module `state`. The order of
+//! endpoints follows the published Allocation Priority Policies; each module says where it departs
+//! from them.
 
 mod admission;
 mod capacity;
@@ -51,31 +52,32 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The tick is a quarter of the tightest latency objective, within these bounds.
+/// Ticks per latency objective: the tick interval is the tightest objective divided by this, within
+/// the two bounds below.
 const TICKS_PER_OBJECTIVE: u64 = 4;
 const MIN_TICK: Duration = Duration::from_millis(20);
 const MAX_TICK: Duration = Duration::from_millis(100);
 /// Ticks between two timers while no request is open.
 const IDLE_TICKS: u32 = 4;
-/// The first subscription is drawn from the poll interval divided by this.
+/// The first subscription is delayed by a random time of up to the poll interval divided by this.
 const FIRST_SUBSCRIPTION_DIVISOR: u64 = 4;
 /// A subscription that failed is repeated after the poll interval divided by this ...
 const RESUBSCRIPTION_DIVISOR: u64 = 8;
-/// ... doubled with each further failure, up to this often.
+/// ... doubled with each further failure, at most this many times.
 const MAX_RESUBSCRIPTION_DOUBLINGS: u32 = 2;
 
-/// Decides for one dispatcher. Dispatchers share nothing: each knows what its own events have told
-/// it.
+/// Makes the balancing decisions of one dispatcher. Dispatchers share no state: each knows only
+/// what its own events have told it.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
     state: BalancerState,
-    /// For each class.
+    /// The preference order of each class.
     preferences: Vec<PreferenceOrder>,
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoint yet; `seed` drives its few random choices.
+    /// Creates a balancer that knows no endpoint yet; `seed` seeds its random number generator.
     ///
     /// # Errors
     ///
@@ -96,10 +98,10 @@
         })
     }
 
-    /// Takes one event and appends what is to be done, in this order.
+    /// Handles one event and appends the resulting actions, to be carried out in order.
     ///
-    /// Handles of endpoints must have been on a list and indices must be in range; events for
-    /// requests that are over are ignored.
+    /// Every endpoint handle must have appeared in an endpoint list, and every index must be in
+    /// range. Events for requests that are already over are ignored.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         match event {
@@ -118,7 +120,8 @@
         self.set_timer(now, actions);
     }
 
-    /// After a stall the clock has jumped, and responses that wait to be read look lost.
+    /// Detects a stall of this process, by a timer that is more than a tick late. Responses that
+    /// arrived during the stall are still unread, so silence before it is no sign of a failure.
     fn detect_stall(&mut self, now: Timestamp) {
         if self
             .state
@@ -129,6 +132,7 @@
         }
     }
 
+    /// Sets a timer for the next tick, unless one fires earlier.
     fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let tick = self.tick_interval();
         let after = if self.state.requests.is_empty() {
@@ -167,8 +171,11 @@
         self.rebuild_preferences();
     }
 
+    /// Schedules a subscription to the endpoint list after a bootstrap list or the loss of the
+    /// source. Any other list resets the count of failed subscriptions.
+    ///
     /// Only the simulator's host subscribes on these timers. A dispatcher watches discovery from
-    /// its first configuration on, at the pace of its own call schedule.
+    /// its first configuration on, at the rate of its own call schedule.
     fn schedule_subscription(&mut self, now: Timestamp, kind: ListKind) {
         let interval = self.settings.max_poll_interval;
         match kind {
@@ -194,18 +201,20 @@
         }
     }
 
-    /// A random span within these bounds, in microseconds.
+    /// A random duration within these bounds, which are in microseconds and inclusive.
     fn random_duration(&mut self, micros: RangeInclusive<u64>) -> Duration {
         Duration::from_micros(self.rng.u64(micros))
     }
 
-    /// The time in which an idle endpoint answers a health check or reports the start of a request.
+    /// The time within which an idle endpoint answers a health check or reports the start of a
+    /// request.
     fn idle_response_time(&self) -> Duration {
         2 * self.settings.timer_resolution + from_micros_f64(2.0 * self.state.health_check_us)
     }
 
-    /// When an idle endpoint has answered what was sent at this time: a health check with its
-    /// report, a request with its start. Time during a stall of ours does not count.
+    /// When an idle endpoint should have answered what was sent at `sent_at`: a health check with
+    /// its report, a request with its start. Time during which this process was stalled does not
+    /// count.
     fn idle_response_due_at(&self, sent_at: Timestamp) -> Timestamp {
         sent_at.max(self.state.resumed_at) + self.idle_response_time()
     }
@@ -220,25 +229,26 @@
         divide(tightest, TICKS_PER_OBJECTIVE).clamp(MIN_TICK, MAX_TICK)
     }
 
-    /// Load reports can be had at any time, by a health check.
+    /// Whether a load report can be requested at any time, by a health check.
     fn can_poll_load(&self) -> bool {
         self.settings.health_checks && self.settings.load_reports != LoadReportSource::None
     }
 
-    /// Dispatchers outnumber the endpoints of every class: none sees much of any endpoint.
+    /// Whether dispatchers outnumber the endpoints of every class. Each dispatcher then sees little
+    /// of any one endpoint.
     fn is_large_fleet(&self) -> bool {
         self.preferences
             .iter()
             .all(|order| order.len() < self.settings.instance_count)
     }
 
-    /// A large fleet in which load can be polled: what a load report shows, other dispatchers see
-    /// as well.
+    /// Whether the fleet is large and load can be polled. Other dispatchers then see the same load
+    /// reports.
     fn is_large_polled_fleet(&self) -> bool {
         self.can_poll_load() && self.is_large_fleet()
     }
 
-    /// A large fleet in which load cannot be polled.
+    /// Whether the fleet is large and load cannot be polled.
     fn is_large_unpolled_fleet(&self) -> bool {
         !self.can_poll_load() && self.is_large_fleet()
     }
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -1,8 +1,8 @@
-//! What the outcome of an attempt tells about its endpoint and its class.
+//! What the outcome of an attempt shows about its endpoint and its class.
 //!
-//! A response shows that the endpoint lives, and whether it answers with errors; a rejection closes
-//! it for a while; a failed connection makes it suspected. A request that was served tells the
-//! running time of its class.
+//! A response shows that the endpoint is alive, and whether it returns errors. A rejection excludes
+//! the endpoint for a while, and a failed connection makes it suspected. A request that was served
+//! is a sample of the running time of its class.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, EndpointId, Outcome, Timestamp};
@@ -12,10 +12,11 @@
 
 /// An endpoint that rejected a request gets no other for this long.
 pub(super) const REJECTION_BACKOFF: Duration = Duration::from_secs(1);
-/// Step of an endpoint's error rate with each response.
+/// EWMA weight of a response in the error rate of its endpoint.
 const ERROR_RATE_EWMA_WEIGHT: f64 = 0.2;
 
 impl Balancer {
+    /// Updates the error rate of an endpoint that has responded, and marks the endpoint as alive.
     pub(super) fn record_response(&mut self, now: Timestamp, result: &AttemptResult) {
         if !matches!(
             result.outcome,
@@ -29,6 +30,8 @@
         *error_rate += ERROR_RATE_EWMA_WEIGHT * (is_error - *error_rate);
     }
 
+    /// Learns the running time from a success. After a rejection or a cancellation in its queue, an
+    /// endpoint gets no request for a back-off; after a failed connection, it is suspected.
     pub(super) fn learn_from_outcome(
         &mut self,
         now: Timestamp,
@@ -61,7 +64,8 @@
         } else {
             result.latency
         };
-        // A ratio to a running time that was only guessed says nothing about the kind.
+        // Until a request of the class has been served, the expected running time is only a guess,
+        // and the ratio to it says nothing about the kind.
         if self.state.classes[class].served > 0 {
             let kind = self.state.endpoint(result.endpoint).kind;
             let ratio = &mut self.state.kind_run_ratio[kind.0];
@@ -72,7 +76,8 @@
             .learn_run(now, class, micros_f64(result.latency), has_max_queue_time);
     }
 
-    /// An endpoint has made progress with a request or ended it.
+    /// Records that an endpoint has responded or made progress with a request, which ends its
+    /// ejection and its probation.
     pub(super) fn mark_alive(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
--- a/crates/decisions/src/policy/overdue.rs
+++ b/crates/decisions/src/policy/overdue.rs
@@ -1,10 +1,11 @@
-//! When an attempt without a word is presumed lost.
+//! When a silent attempt is presumed lost.
 //!
-//! Where running requests report progress, an attempt is overdue when it was silent for longer than
-//! the progress interval and its latency objective allow. Its slots are released, and its endpoint
-//! is put on probation unless it has responded since the send. If the endpoint was heard of since,
-//! the connection is at fault: connections that are idle for nearly as long as that one was are not
-//! trusted for a while. Where no progress is reported, nothing is overdue.
+//! Where running requests report progress, an attempt is overdue once it has been silent for longer
+//! than the progress interval and its latency objective allow. Its slots are released, and its
+//! endpoint is put on probation unless it has responded since the attempt was sent. If the endpoint
+//! has been heard from since, the connection is presumed to have failed: for a while, connections
+//! that have been idle for nearly as long as that one are closed instead of reused. Where no
+//! progress is reported, no attempt is overdue.
 
 use super::Balancer;
 use crate::api::{Settings, Timestamp};
@@ -12,15 +13,15 @@
 use crate::time::divide;
 use std::time::Duration;
 
-/// Progress intervals that an attempt without a work hint may be silent where its start is not
-/// reported: it may as well be in a queue.
+/// Progress intervals for which an attempt without a work hint may be silent where endpoints do not
+/// report starts: the attempt may still be queued.
 const SILENT_INTERVALS_WITHOUT_START: u32 = 3;
-/// How long a limit on idle connections is believed.
+/// How long a limit on the idle time of connections remains in effect.
 const IDLE_LIMIT_LIFETIME: Duration = Duration::from_secs(20);
-/// The limit is this part of the idle time of a connection that failed, in quarters.
+/// The limit, in quarters of the idle time of the connection that failed.
 const IDLE_LIMIT_QUARTERS: u32 = 3;
 
-/// An attempt that is overdue, and what it takes.
+/// An attempt that has become overdue, and the capacity reserved for it.
 struct OverdueAttempt {
     attempt: Attempt,
     slots: f64,
@@ -28,7 +29,8 @@
 }
 
 impl Balancer {
-    /// Releases what overdue attempts take, and draws the conclusions.
+    /// Releases the capacity reserved for attempts that have become overdue, and updates the state
+    /// of their endpoints and the limit on idle connections.
     pub(super) fn release_overdue_attempts(&mut self, now: Timestamp) {
         for overdue in self.mark_overdue(now) {
             let OverdueAttempt {
@@ -46,6 +48,7 @@
         }
     }
 
+    /// Marks the attempts that have become overdue since the last call, and returns them.
     fn mark_overdue(&mut self, now: Timestamp) -> Vec<OverdueAttempt> {
         if self.settings.progress_interval.is_zero() {
             return Vec::new();
@@ -72,6 +75,9 @@
         overdue
     }
 
+    /// Lowers the limit on idle connections if the connection of an overdue attempt seems to have
+    /// failed: it had been idle, the request has not started, and the endpoint has been heard from
+    /// since.
     fn limit_idle_connections(&mut self, now: Timestamp, attempt: &Attempt) {
         let was_idle = attempt.connection_idle > 2 * self.tick_interval();
         let endpoint_is_responsive =
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! What happens at the arrival and at the end of a request.
+//! What happens when a request arrives and when it ends.
 
 use super::Balancer;
 use super::health_checks::{CREDIT_PER_REQUEST, MAX_CREDIT};
@@ -6,12 +6,13 @@
 use crate::api::{Action, Idempotency, IncomingRequest, RequestId, Timestamp};
 use crate::state::{LEARNING_RATE, Request};
 
-/// Step of the mean time between requests, and the longest time that counts.
+/// EWMA weight of a sample in the mean time between requests.
 const REQUEST_GAP_EWMA_WEIGHT: f64 = 0.1;
+/// The longest time between two requests that is counted.
 const MAX_REQUEST_GAP_US: u64 = 1_000_000;
 
 impl Balancer {
-    /// Takes a request in, and sends it or queues it.
+    /// Records a request that has arrived, and sends it or queues it.
     pub(super) fn on_request_arrived(
         &mut self,
         now: Timestamp,
@@ -30,6 +31,7 @@
         }
     }
 
+    /// Updates the estimates and the health check credit that depend on arriving requests.
     fn record_arrival(&mut self, now: Timestamp, incoming: &IncomingRequest) {
         let state = &mut self.state;
         let gap_us = now
@@ -47,8 +49,10 @@
         class.longest_remaining = class.longest_remaining.max(incoming.remaining);
     }
 
-    /// A client that sends its request again has less time left than at its first attempt: the
-    /// difference to the longest remaining time of the class tells when it first came.
+    /// Creates the record of a request.
+    ///
+    /// A retry by a client arrives with less remaining time than its first attempt did. The
+    /// difference to the longest remaining time in the class gives the time of that first attempt.
     fn new_request(&mut self, now: Timestamp, incoming: IncomingRequest) -> Request {
         let longest_remaining = self.state.classes[incoming.class.0].longest_remaining;
         let class_weight = self.settings.classes[incoming.class.0].priority_weight;
@@ -67,8 +71,8 @@
         }
     }
 
-    /// The request has its final response, or nobody waits for one: cancels what is still in
-    /// flight.
+    /// Ends a request that has its final response or whose client has disconnected. Cancels the
+    /// attempts that are still in flight, if cancellation is allowed.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.state.requests.get_mut(&id) else {
             return;
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -1,8 +1,8 @@
-//! When a request is sent again, and when it is given up.
+//! When a request is retried, and when it ends without being served.
 //!
 //! A request whose attempt failed is queued for another attempt if the rules permit one and its
-//! deadline has not passed. Otherwise it gets its final response: shed with a `Retry-After` where a
-//! retry by the client is harmless, failed where an attempt may have run.
+//! deadline has not passed. Otherwise it gets its final response: it is shed, with a `Retry-After`,
+//! where a retry by the client is harmless, and failed where an attempt may have run.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, Outcome, RequestId, Timestamp};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// An attempt has ended. Results of attempts that have ended before are ignored.
+    /// Handles the end of an attempt. The result of an attempt that had already ended is ignored.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -38,7 +38,8 @@
         self.serve_queue(now, actions);
     }
 
-    /// Returns the attempt as it was before its end; `None` if it has ended before.
+    /// Records whether an attempt that has ended may have run. Returns the attempt as it was
+    /// before; `None` if it had already ended or is not known.
     fn record_execution(&mut self, result: &AttemptResult) -> Option<Attempt> {
         let request = self.state.requests.get_mut(&result.request)?;
         let attempt = request
@@ -54,6 +55,8 @@
         Some(before)
     }
 
+    /// Releases what an attempt takes of its endpoint. For an overdue attempt, that was released
+    /// before.
     fn release_attempt(&mut self, now: Timestamp, id: RequestId, attempt: &Attempt) {
         if attempt.is_overdue {
             return;
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Gives the final response to a request that will not be served.
+    /// Sheds or fails a request that will not be served, unless it already has its final response.
     pub(super) fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let retry_after = self.random_retry_after();
         let Some(request) = self
@@ -99,7 +102,7 @@
         self.finish(id, actions);
     }
 
-    /// A random back-off, so that clients that were shed together do not return together.
+    /// A random back-off, so that clients whose requests were shed together do not return together.
     fn random_retry_after(&mut self) -> Option<Duration> {
         if !self.settings.retry_after {
             return None;
