--- a/crates/decisions/src/policy/eligibility.rs
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -1,9 +1,9 @@
-//! Which endpoints may be sent a request at all, however much capacity they have.
+//! Which endpoints may be sent a request at all, whatever their capacity.
 //!
-//! Inputs: the state of the endpoint, what the rules permit for the request, and what is believed
-//! of the endpoint's health. An endpoint on probation, or one that answers with errors, gets one
-//! request at a time, and only idempotent ones while any arrive: what it does to that request may
-//! be repeated elsewhere.
+//! Inputs: the state of the endpoint, what the rules permit for the request, and the estimated
+//! health of the endpoint. An endpoint on probation, or one that returns errors, gets one request
+//! at a time, and only idempotent ones while any arrive: what goes wrong with such a request may be
+//! repeated elsewhere.
 
 use super::Balancer;
 use crate::api::{EndpointId, EndpointState, Idempotency, Timestamp};
@@ -11,11 +11,11 @@
 use crate::state::{Attempt, Endpoint, Request};
 use std::time::Duration;
 
-/// An endpoint on probation is left to idempotent requests, unless none has arrived for this long.
+/// An endpoint on probation gets only idempotent requests, unless none has arrived for this long.
 const IDEMPOTENT_TRAFFIC_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Balancer {
-    /// What the rules permit for a request.
+    /// What the rules permit for a request after its attempts so far.
     pub(super) fn permission(&self, now: Timestamp, request: &Request) -> Permission {
         rules::attempt_permission(
             now,
@@ -45,6 +45,8 @@
             && self.has_slow_start_budget(now, endpoint, request)
     }
 
+    /// Whether the limits on an endpoint that is on probation or failing allow the request; true
+    /// for any other endpoint.
     fn passes_probation(&self, now: Timestamp, endpoint: &Endpoint, request: &Request) -> bool {
         if !endpoint.on_probation && !self.is_failing(endpoint) {
             return true;
@@ -57,7 +59,7 @@
     }
 }
 
-/// Whether an attempt of the request may have run at this endpoint, or may yet.
+/// Whether an attempt of the request may have run at this endpoint, or is still in flight there.
 fn may_have_run_at(request: &Request, id: EndpointId) -> bool {
     let sent =
         |attempt: &Attempt| attempt.endpoint == id && attempt.execution != Execution::NeverRan;
--- a/crates/decisions/src/policy/preference.rs
+++ b/crates/decisions/src/policy/preference.rs
@@ -1,14 +1,16 @@
 //! The order in which endpoints are considered for a request.
 //!
-//! For each class, the endpoints it may use stand in blocks: the home zone before all others, and
-//! within each the kinds that no narrower class depends on, then those that one does, then those
-//! too slow for the tightest objective. Within a block they stand in the order of names. The order
-//! depends on the list and on learnt slots alone.
+//! For each class, the endpoints that it may use are grouped into blocks: the home zone before all
+//! other zones, and within each of the two first the general kinds, then the kinds that a more
+//! restricted class requires, then the kinds too slow for the tightest objective. Within a block,
+//! endpoints are in the order of their names. The order depends only on the endpoint list and on
+//! learnt slots.
 //!
-//! Two departures from Allocation Priority Policies. Dispatchers share one order of names and would
-//! all start at the head of each block, so each starts at a place of its own. And where dispatchers
-//! outnumber endpoints, the order of one request is no longer that of the list: few dispatchers
-//! would find the warm endpoints, or the turns of those in slow start, in list order.
+//! There are two departures from Allocation Priority Policies. Dispatchers share one order of names
+//! and would all start at the head of each block, so each starts at a position of its own. And
+//! where dispatchers outnumber endpoints, the order is computed for each request: in the order of
+//! the list, few dispatchers would find the endpoints that are warm for a request, or use their
+//! turns of endpoints in slow start.
 
 use super::Balancer;
 use crate::api::{Class, EndpointId, KindId, Timestamp};
@@ -17,20 +19,21 @@
 use crate::time::micros_f64;
 use std::borrow::Cow;
 
-/// Blocks in each of the home zone and all other zones.
+/// Blocks for the home zone, and as many for all other zones together.
 const BLOCKS_PER_ZONE_GROUP: u8 = 3;
 const BLOCKS: u8 = 2 * BLOCKS_PER_ZONE_GROUP;
-/// Blocks within a zone, in order.
+/// Block of the kinds that no more restricted class requires; the first in a zone group.
 const GENERAL_KINDS: u8 = 0;
+/// Block of the kinds that other classes are restricted to, for a class that may use any kind.
 const REQUIRED_KINDS: u8 = 1;
+/// Block of the kinds too slow for the tightest objective; the last in a zone group.
 const SLOW_KINDS: u8 = 2;
-/// A kind is slow if its size for its slots, times the smallest objective stretch, is below this
-/// multiple of the mean.
+/// A kind is slow if its relative size per slot, times the smallest objective stretch, is below
+/// this multiple of the mean size per slot.
 const SLOW_KIND_MULTIPLE: f64 = 1.1;
-/// Requests with one affinity key stay with one in this many endpoints, and with at least the
-/// second number.
+/// Requests with the same affinity key stay with one in this many endpoints ...
 const AFFINITY_DIVISOR: usize = 4;
-/// ... and with at least this many.
+/// ... but with at least this many.
 const MIN_AFFINITY_ENDPOINTS: usize = 4;
 /// A request waits for these endpoints for this share of its objective before any other may serve
 /// it.
@@ -48,7 +51,7 @@
 #[derive(Default)]
 pub(super) struct PreferenceOrder {
     candidates: Vec<Candidate>,
-    /// How many of the first candidates are in the home zone.
+    /// Number of candidates in the home zone, which come first.
     home_count: usize,
 }
 
@@ -62,7 +65,7 @@
     }
 }
 
-/// Ranks of endpoints in the order of one request in a large fleet, the best first.
+/// Rank of an endpoint in the order for one request in a large fleet, the best first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
     SlowStart,
@@ -71,16 +74,16 @@
     LostZone,
 }
 
-/// Sums over the listed endpoints of a kind.
+/// Sums over the ready endpoints of a kind.
 #[derive(Clone, Copy, Default)]
 struct KindTotals {
-    /// Sum of the relative sizes; not a number where one is not known.
+    /// Sum of the relative sizes; NaN if one is not known.
     size: f64,
     slots: f64,
 }
 
 impl Balancer {
-    /// Works the order out anew, after a change of the list or of learnt slots.
+    /// Rebuilds the preference orders after a change of the endpoint list or of learnt slots.
     pub(super) fn rebuild_preferences(&mut self) {
         let by_name = self.state.by_name.iter().copied();
         let ready: Vec<_> = by_name
@@ -96,7 +99,7 @@
             .map(|class| class.objective_stretch)
             .fold(f64::MAX, f64::min)
             .max(1.0);
-        // With one unknown size the sums are not a number, and no kind counts as slow.
+        // If one size is not known, the sums are NaN and no kind counts as slow.
         let is_slow_kind = |kind: KindId| {
             let KindTotals { size, slots } = totals[kind.0];
             size / slots * smallest_stretch < SLOW_KIND_MULTIPLE * mean_size_per_slot
@@ -165,10 +168,11 @@
         order
     }
 
-    /// The members of a block, from this dispatcher's own start.
+    /// The members of a block, starting at this dispatcher's own position.
     ///
-    /// Where dispatchers share starts, what leaves one full endpoint would all go to the same next
-    /// one, so each goes on in steps of its own that meet every member once.
+    /// Where several dispatchers share a starting position, the requests that a full endpoint turns
+    /// away would all go to the same next endpoint. Each dispatcher therefore uses a step of its
+    /// own that is coprime to the number of members, and so visits every member once.
     fn order_for_instance(&self, members: &[EndpointId]) -> impl Iterator<Item = EndpointId> {
         let count = members.len();
         let start = count * self.settings.instance_index / self.settings.instance_count;
@@ -184,7 +188,7 @@
         (0..count).map(move |position| members[(start + position * step) % count])
     }
 
-    /// The order for one request, with or without the endpoints of other zones.
+    /// The candidates for one request in order, with or without the endpoints of other zones.
     pub(super) fn candidates_for(
         &self,
         now: Timestamp,
@@ -210,9 +214,9 @@
         candidates
     }
 
-    /// Where dispatchers outnumber the endpoints of a class: those in slow start first, so that
-    /// their turns are used, slow ones last or, while the request could cross zones instead, not at
-    /// all.
+    /// Orders the candidates where dispatchers outnumber the endpoints of a class. Endpoints in
+    /// slow start come first, so that their turns are used. Slow endpoints come last, and are left
+    /// out until the request may cross zones instead.
     fn order_for_large_fleet(
         &self,
         now: Timestamp,
@@ -248,11 +252,12 @@
         self.swap_first_two(request, candidates);
     }
 
-    /// Keeps the few endpoints that serve the request's affinity key, for a while.
+    /// Restricts the candidates for a while to the few endpoints that serve the affinity key of the
+    /// request.
     ///
-    /// Otherwise every endpoint would fetch what any request is about, and all would wait for the
-    /// store that they fetch it from. While these few are full the request waits a little: a fetch
-    /// elsewhere would keep all full for longer.
+    /// Otherwise every endpoint would fetch the data of every key, and all would wait for the store
+    /// from which they fetch it. While these few endpoints are full the request waits a little: a
+    /// fetch elsewhere would keep all endpoints full for longer.
     fn retain_affinity_endpoints(
         &self,
         now: Timestamp,
@@ -277,8 +282,8 @@
         }
     }
 
-    /// All dispatchers have one order of endpoints for a key; half of them swap the first two of
-    /// it.
+    /// Swaps the first two candidates for an affinity key on half of the dispatchers, as all
+    /// dispatchers have the same order of endpoints for it.
     fn swap_first_two(&self, request: &Request, candidates: &mut [Candidate]) {
         let instance = self.settings.instance_index as u64;
         let swaps = request
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -1,10 +1,10 @@
 //! Which endpoint gets a request: the first in the preference order that would start it now.
 //!
-//! Inputs: the preference order, what the rules permit, the believed capacity of each endpoint, and
-//! how recent that belief is. An endpoint of which there is no recent news is checked first, so
-//! that a request is not sent to where there was capacity a while ago. Other zones are considered
+//! Inputs: the preference order, what the rules permit, the estimated capacity of each endpoint,
+//! and the age of that estimate. An endpoint without a recent update is checked first, so that a
+//! request is not sent to an endpoint that had capacity a while ago. Other zones are considered
 //! once the request has waited for a share of its latency objective, so that it does not pay for
-//! crossing zones just before the home zone has capacity.
+//! crossing zones just before an endpoint in the home zone has capacity.
 
 use super::Balancer;
 use super::capacity::LOAD_ESTIMATE_TIME_CONSTANT_US;
@@ -14,54 +14,56 @@
 use crate::state::Request;
 use crate::time::{from_micros_f64, micros_f64};
 
-/// Slots that an endpoint keeps free where dispatchers outnumber endpoints, while any endpoint can:
-/// others see the same report, and more than one may act on it before the next.
+/// Slots that an endpoint keeps free where dispatchers outnumber endpoints, as long as any endpoint
+/// can: other dispatchers see the same report, and more than one may act on it before the next.
 const SPARE_SLOTS: f64 = 2.0;
-/// Health checks sent for one request before it is sent on belief alone.
+/// Health checks sent for one request before it is sent based on the estimate alone.
 const MAX_CHECKS_PER_REQUEST: u32 = 4;
-/// Reports that change within this share of a mean running time describe the present.
+/// Load reports describe the present if the interval between their changes is below this share of a
+/// mean running time.
 const CURRENT_REPORT_INTERVAL_RUNS: f64 = 0.33;
-/// News of an endpoint is recent for this share of a mean running time.
+/// An update of an endpoint is recent for this share of a mean running time.
 const RECENT_UPDATE_RUNS: f64 = 0.25;
-/// The price of crossing zones is the share of its objective that a request waits for the home
-/// zone, up to this.
+/// A request waits for the home zone for the share of its objective that equals the price of
+/// crossing zones, but for no more than this share.
 const MAX_HOME_ZONE_WAIT: f64 = 0.5;
 
-/// Whether a request may be sent to an endpoint where it would queue.
+/// Whether a request may be sent to an endpoint where it would be queued.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum EndpointQueueing {
-    /// Where that still meets its objective.
+    /// It may, where it would still meet its objective.
     Allowed,
+    /// It may not; it waits until an endpoint would start it at once.
     Avoided,
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Selection {
     /// To this endpoint.
     Send(EndpointId),
     /// To this endpoint once a health check has shown that it has capacity.
     CheckFirst(EndpointId),
-    /// Nowhere yet: the response to a health check is awaited, or nothing may be sent.
+    /// Nowhere yet: a health check is in flight, or no attempt may be sent.
     Wait,
     /// Nowhere yet: no endpoint would start it now.
     NoCapacity,
 }
 
-/// What holds for all endpoints that are considered for a request.
+/// What is the same for all endpoints that are considered for a request.
 struct SelectionContext<'a> {
     now: Timestamp,
     request: &'a Request,
     permission: &'a Permission,
-    /// News since then is recent.
+    /// An update at this time or later is recent.
     recent_since: Timestamp,
-    /// Reports describe the present.
+    /// Whether load reports describe the present.
     reports_are_current: bool,
 }
 
 impl Balancer {
-    /// Sends a request if an endpoint would start it now; any selection but [`Selection::Send`]
-    /// leaves it where it is.
+    /// Sends a request if an endpoint would start it now or, where `endpoint_queueing` allows it,
+    /// from its queue. With any selection but [`Selection::Send`], the request is not sent.
     pub(super) fn try_send(
         &mut self,
         now: Timestamp,
@@ -94,8 +96,8 @@
         self.state.awaits_start |= reports_start;
         self.spend_slow_start_budget(now, endpoint, id);
         let idle = self.state.start_attempt(now, id, endpoint, reports_start);
-        // The endpoint, or something on the way, may have dropped a connection that was idle for as
-        // long.
+        // The endpoint, or a device on the network path, may have dropped a connection that was
+        // idle for this long.
         let limit = self.state.idle_connection_limit;
         let only_attempt = self.state.endpoint(endpoint).own_attempts == 1;
         if !limit.is_zero() && idle >= Some(limit) && only_attempt {
@@ -159,7 +161,7 @@
         now.micros_since(request.started_at) as f64 >= objective_us * home_wait
     }
 
-    /// What becomes of a request at one endpoint; `None`: the next one is considered.
+    /// Decides about a request at one endpoint. `None`: the next endpoint is considered.
     fn evaluate(
         &self,
         context: &SelectionContext,
@@ -168,8 +170,9 @@
     ) -> Option<Selection> {
         let SelectionContext { now, request, .. } = *context;
         let endpoint = self.state.endpoint(id);
-        // With the fleet full on the mean, an endpoint without news would never be found free. Only
-        // where reports are current: older ones show capacity that others have taken since.
+        // While the mean usage by other dispatchers leaves no capacity, an endpoint without a
+        // recent report would never be found free, so it is checked. That holds only where reports
+        // are current: older ones show capacity that other dispatchers have taken since.
         let load_is_unknown = context.reports_are_current
             && now.micros_since(endpoint.reported_at) as f64 > LOAD_ESTIMATE_TIME_CONSTANT_US;
         let would_start = self.would_start_now(now, endpoint, request, spare_slots);
@@ -195,10 +198,12 @@
         would_start.then_some(Selection::Send(id))
     }
 
-    /// The first endpoint whose queue would start the request while that still meets its objective.
+    /// Selects the first endpoint whose queue would start the request while that still meets its
+    /// objective.
     ///
-    /// Seldom open: requests that may wait long would fill the queues of all endpoints, and those
-    /// that may not, though worth more for a slot's time, would never find a free slot.
+    /// `would_start_soon` rarely allows this: requests that may wait for long would fill the queues
+    /// of all endpoints, and requests that may not, although worth more per slot-time, would never
+    /// find a free slot.
     fn select_for_queueing(&self, context: &SelectionContext) -> Selection {
         let SelectionContext {
             now,
