--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -1,10 +1,10 @@
-//! What load an endpoint is believed to have, and when it would start a request.
+//! How loaded an endpoint is estimated to be, and when it would start a request.
 //!
 //! Capacity is counted in slots, and in memory where a request takes some: an endpoint has as much
-//! memory as it has slots. What our own attempts
-//! take is known; what other dispatchers take is believed from load reports, and that belief fades
-//! to the mean of the zone, as an endpoint without news would otherwise look for good as empty, or
-//! as full, as it was then.
+//! memory as it has slots. What this dispatcher's own attempts take is known. What other
+//! dispatchers take is estimated from load reports, and the estimate decays to the mean of the
+//! zone: otherwise an endpoint that sends no reports would be taken to stay as empty, or as full,
+//! as it was at its last one.
 
 use super::Balancer;
 use crate::api::Timestamp;
@@ -12,22 +12,22 @@
 use crate::state::{Endpoint, Request};
 use crate::time::micros_f64;
 
-/// Time constant with which belief about other dispatchers' use of an endpoint fades to the mean of
-/// its zone.
+/// Time constant with which the estimated usage of an endpoint by other dispatchers decays to the
+/// mean of its zone.
 pub(super) const LOAD_ESTIMATE_TIME_CONSTANT_US: f64 = 2_000_000.0;
-/// A request may lack this much of a slot: belief is a mean, and slots come whole.
+/// A request may lack this much of a slot: the estimate is a mean, but slots are whole.
 const SLOT_TOLERANCE: f64 = 0.5;
-/// An endpoint known by the mean of its zone alone is full at this mean use: the mean names none
-/// that has capacity.
+/// An endpoint estimated from the mean of its zone alone counts as full at this mean usage: the
+/// mean does not show which endpoints have capacity.
 const FULL_AT_ZONE_USAGE: f64 = 0.5;
-/// The share of its objective that a request which queues at an endpoint keeps for its run.
+/// The share of its objective that a request queued at an endpoint keeps for its running time.
 const RUN_SHARE_OF_OBJECTIVE: f64 = 0.5;
-/// A request of several slots may lack less than this many at the endpoint where it queues for
+/// A request of several slots may lack fewer than this many at the endpoint where it is queued for
 /// them.
 const MAX_MISSING_SLOTS: f64 = 1.0;
 
 impl Balancer {
-    /// Slots of an endpoint; where not known, as many as the request takes.
+    /// Number of slots of an endpoint; if not known, as many as the request takes and at least one.
     pub(super) fn slots_of(&self, endpoint: &Endpoint, request: &Request) -> f64 {
         let slots = self.state.kind_slots[endpoint.kind.0];
         if slots == 0.0 {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// The capacity left beside this request, in slots or, if that is less, in memory; below 0 it
-    /// would queue.
+    /// The capacity that remains beside this request, in slots or, if that is less, in memory. If
+    /// it is negative, the request would be queued.
     fn spare_capacity(&self, now: Timestamp, endpoint: &Endpoint, request: &Request) -> f64 {
         let total = self.slots_of(endpoint, request);
         let slots =
@@ -51,49 +51,52 @@
         }
     }
 
-    /// Slots of an endpoint that other dispatchers are believed to use now, of this many.
+    /// How many of the `total` slots of an endpoint other dispatchers are estimated to use now.
     fn others_slots(&self, now: Timestamp, endpoint: &Endpoint, total: f64) -> f64 {
         let mean = self.mean_others_slots(now, endpoint, total);
         let age_us = now.micros_since(endpoint.reported_at) as f64;
         mean + (endpoint.others_slots - mean) * decay(age_us, LOAD_ESTIMATE_TIME_CONSTANT_US)
     }
 
-    /// What other dispatchers use of an endpoint of which nothing else is known.
+    /// What other dispatchers are estimated to use of an endpoint, apart from its own reports.
     fn mean_others_slots(&self, now: Timestamp, endpoint: &Endpoint, total: f64) -> f64 {
         let uses_zone_mean = self.uses_zone_mean(endpoint);
-        // Where nobody reports, a guess that nothing can correct would keep all requests from idle
-        // endpoints.
+        // Where no endpoint reports, a guess that nothing can correct would keep all requests away
+        // from idle endpoints.
         let never_reported = endpoint.reported_at == Timestamp::ORIGIN
             && !uses_zone_mean
             && (!self.can_poll_load() || self.relies_on_health_checks(endpoint));
-        // Slow start leaves an endpoint nearly empty.
+        // An endpoint in slow start is nearly empty.
         if never_reported || self.time_in_slow_start(now, endpoint).is_some() {
             return 0.0;
         }
         let usage = self.state.zone_usage[endpoint.zone.0];
         if uses_zone_mean {
-            // Fades, as a zone once full gets nothing that would show it to be free.
+            // The estimate decays: a zone once full would get no request that could show it to be
+            // free.
             let remaining = usage.remaining(now, LOAD_ESTIMATE_TIME_CONSTANT_US);
             return (total - SLOT_TOLERANCE) * usage.share / FULL_AT_ZONE_USAGE * remaining;
         }
         total * usage.share
     }
 
-    /// Where load cannot be polled and dispatchers outnumber endpoints, most endpoints are known by
-    /// the mean of those that reported: taken for empty, they would get a burst that fills all
-    /// their queues.
+    /// Whether the usage of an endpoint is estimated from the mean of the endpoints of its zone
+    /// that have reported.
+    ///
+    /// Where load cannot be polled and dispatchers outnumber endpoints, this holds for most
+    /// endpoints: assumed to be empty, they would get a burst that fills all their queues.
     pub(super) fn uses_zone_mean(&self, endpoint: &Endpoint) -> bool {
         self.is_large_unpolled_fleet() && self.state.kind_slots[endpoint.kind.0] > 0.0
     }
 
-    /// Whether no endpoint of its kind has reported yet, in a large fleet: until then, health
-    /// checks alone decide.
+    /// Whether no endpoint of its kind has reported yet, in a large fleet where load can be polled.
+    /// Until one has, health checks alone decide whether the endpoint gets requests.
     pub(super) fn relies_on_health_checks(&self, endpoint: &Endpoint) -> bool {
         self.is_large_polled_fleet() && self.state.kind_slots[endpoint.kind.0] == 0.0
     }
 
-    /// Whether an endpoint would start the request now and keep this many slots free, or all it
-    /// has.
+    /// Whether an endpoint would start the request now and keep `spare_slots` free, or all slots
+    /// that the request leaves if those are fewer.
     pub(super) fn would_start_now(
         &self,
         now: Timestamp,
@@ -101,7 +104,7 @@
         request: &Request,
         spare_slots: f64,
     ) -> bool {
-        // An endpoint that takes requests one by one takes them whatever their size.
+        // A limit on concurrent requests counts them whatever their size.
         if let Some(max_concurrent) = endpoint.max_concurrent {
             return endpoint.own_attempts < max_concurrent as usize;
         }
@@ -112,7 +115,8 @@
             && self.spare_capacity(now, endpoint, request) >= spare_slots - SLOT_TOLERANCE
     }
 
-    /// Whether an attempt of ours should have reported its start by now: the endpoint has a queue.
+    /// Whether an attempt of this dispatcher has not reported its start in time, which shows that
+    /// the endpoint has a queue.
     fn has_late_start(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
         let first = endpoint.unstarted_sends.first();
         first.is_some_and(|&sent_at| now > self.idle_response_due_at(sent_at))
@@ -121,16 +125,17 @@
     /// Whether an endpoint would start the request from its queue while that still meets the
     /// objective.
     ///
-    /// Only where nobody reports its slots; and for a request of several slots that lacks less than
-    /// one, while none is queued here: that many are seldom free at once unless the request waits
-    /// for them at the head of a queue.
+    /// True only where no endpoint of the kind has reported its slots, and for a request of several
+    /// slots that lacks less than one while none is queued here: that many slots are seldom free at
+    /// once unless the request waits for them at the head of the endpoint's queue.
     pub(super) fn would_start_soon(
         &self,
         now: Timestamp,
         endpoint: &Endpoint,
         request: &Request,
     ) -> bool {
-        // An endpoint without a queue would reject it, and is avoided for a while after that.
+        // An endpoint with a limit on concurrent requests has no queue: it would reject the
+        // request, and then get no other for a while.
         if endpoint.max_concurrent.is_some() || self.has_late_start(now, endpoint) {
             return false;
         }
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -1,36 +1,39 @@
-//! What a load report tells about an endpoint.
+//! How a load report updates the estimates for an endpoint.
 //!
-//! A report gives the slots and memory in use, by us and by others, and the throughput. What others
-//! use is kept for the endpoint as a moving average, and for its zone as a mean. A report as old as
-//! a request tells of little but the mean of the zone, so it counts the less, the longer the
-//! interval between reports is.
+//! A report gives the slots and memory in use, by this dispatcher and by others, and the
+//! throughput. What other dispatchers use is kept as a moving average for the endpoint, and as a
+//! mean for its zone. A report as old as a running request says little more than the mean of the
+//! zone, so its weight falls with the interval between reports.
 
 use super::Balancer;
 use crate::api::{EndpointId, LoadReport, Timestamp};
 use crate::math::{decay, ewma_weight};
 use crate::state::USAGE_TIME_CONSTANT_US;
 
-/// Mean running times after which a report says little of the present.
+/// Time constant, in mean running times, with which a report loses weight as the interval between
+/// reports grows.
 const REPORT_LIFETIME_RUNS: f64 = 3.0;
-/// Time constant of an endpoint's throughput, and the step of the mean one's.
+/// Time constant of the throughput of an endpoint.
 const THROUGHPUT_TIME_CONSTANT_US: f64 = 2_000_000.0;
+/// EWMA weight of a report in the mean throughput of all endpoints.
 const FLEET_THROUGHPUT_EWMA_WEIGHT: f64 = 0.05;
-/// Step of the mean use of a zone's endpoints, and the largest use that counts, as a share of the
-/// slots.
+/// EWMA weight of a report in the mean usage of the endpoints of its zone.
 const ZONE_USAGE_EWMA_WEIGHT: f64 = 0.05;
+/// The largest usage by other dispatchers that counts in that mean, as a multiple of the slots.
 const MAX_ZONE_USAGE: f64 = 2.0;
 
-/// How far a report is believed.
+/// The weights with which a report updates the estimated usage by other dispatchers.
 #[derive(Clone, Copy)]
 struct ReportWeights {
-    /// Weight of the report against the mean of the zone, from 0 to 1; `None`: the mean does not
-    /// count.
+    /// Weight of the report against the mean of the zone, from 0 to 1; `None`: the mean is not
+    /// used.
     against_zone_mean: Option<f64>,
-    /// Weight of the new belief against the previous one, from 0 to 1.
+    /// Weight of the result against the previous estimate, from 0 to 1.
     against_estimate: f64,
 }
 
 impl Balancer {
+    /// Updates the estimates for an endpoint, its kind and its zone from a load report.
     pub(super) fn on_load_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
         let endpoint = self.state.endpoint(id);
         let kind = endpoint.kind;
@@ -54,9 +57,12 @@
         }
     }
 
-    /// An old report shows capacity that others have taken since. Not where dispatchers outnumber
-    /// endpoints: there a request that takes a whole endpoint would never find one, and spare slots
-    /// make up for what has changed.
+    /// Returns how much a report counts.
+    ///
+    /// An old report shows capacity that other dispatchers have taken since, so it is averaged with
+    /// the mean of the zone. The mean is not used in slow start, nor in a large fleet where load
+    /// can be polled: there, a request that takes a whole endpoint would never find one, and spare
+    /// slots make up for what has changed.
     fn report_weights(&self, now: Timestamp, id: EndpointId, usage_weight: f64) -> ReportWeights {
         let is_large_polled_fleet = self.is_large_polled_fleet();
         let in_slow_start = self
@@ -92,8 +98,8 @@
         }
     }
 
-    /// Keeps the report of the load; the throughput differs from report to report even where the
-    /// load was not refreshed.
+    /// Stores the load of a report without the throughput, which differs from report to report even
+    /// where the load was not refreshed.
     fn store_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
         let load = LoadReport {
             requests_per_second: None,
@@ -104,8 +110,8 @@
         state.endpoints[id.index()].note_report(now, load, &mut state.report_interval_us);
     }
 
-    /// Slots in use and queued for. Free slots stop at 0, so a long queue would look like an
-    /// endpoint about to be free.
+    /// Slots in use and queued for. Free slots are never reported as less than 0, so by them alone
+    /// an endpoint with a long queue would seem about to become free.
     fn busy_slots(&self, report: &LoadReport, slots: f64, free_slots: f64) -> f64 {
         let in_flight_slots = report
             .in_flight
@@ -113,6 +119,7 @@
         (slots - free_slots + report.queued.unwrap_or(0.0)).max(in_flight_slots)
     }
 
+    /// Updates the estimated usage by other dispatchers, of the endpoint and of its zone.
     fn learn_others_slots(
         &mut self,
         now: Timestamp,
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -1,10 +1,10 @@
-//! How much an endpoint may be sent that has just started.
+//! How much may be sent to an endpoint that has just started.
 //!
 //! An endpoint starts with a share of its capacity, and fails when all dispatchers together send it
-//! more than a multiple of its present capacity within a window. Dispatchers do not talk, so each
-//! works out alone what it may send: the window is divided into turns, the budget of a turn into
-//! grants, and a hash of the endpoint, its start and the turn decides which dispatchers get the
-//! grants. The shares of all dispatchers add up to the budget.
+//! more than a multiple of its present capacity within a window. Dispatchers do not communicate, so
+//! each computes on its own what it may send. The window is divided into turns of equal length, the
+//! budget of a turn is divided into grants, and a hash of the endpoint, its start time and the turn
+//! decides which dispatchers get the grants. The shares of all dispatchers add up to the budget.
 
 use super::Balancer;
 use crate::api::{EndpointId, RequestId, Timestamp};
@@ -13,19 +13,21 @@
 use crate::time::{divide, micros_f64, whole_micros};
 use std::time::Duration;
 
-/// Turns in a window.
+/// Number of turns in a window.
 const TURNS_PER_WINDOW: u64 = 2;
-/// The window slides, so it meets one turn more: all those together hand out the budget.
+/// A sliding window overlaps one turn more, and the budget is what all of these together grant.
 const TURNS_OVERLAPPING_WINDOW: u64 = TURNS_PER_WINDOW + 1;
-/// The grant for requests with a work hint, in mean requests of the heaviest class: one size for
-/// all of them, as there would always be one small enough for any dispatcher's share.
+/// The grant for requests with a work hint, as a multiple of the longest mean running time of a
+/// class. It is the same for all of them: if it depended on the request, there would always be a
+/// request small enough for the share of any dispatcher.
 const HINTED_GRANT: f64 = 2.0;
-/// How much sooner than its objective a request should end on an endpoint at its present capacity.
+/// A request is sent to an endpoint in slow start only if its objective exceeds its expected
+/// running time at the present capacity by this factor.
 const OBJECTIVE_MARGIN: f64 = 1.2;
 
 impl Balancer {
-    /// Whether this dispatcher's share of an endpoint in slow start allows the request; true for
-    /// any other endpoint.
+    /// Whether this dispatcher's share of the budget of an endpoint in slow start allows the
+    /// request; true for any other endpoint.
     pub(super) fn has_slow_start_budget(
         &self,
         now: Timestamp,
@@ -51,7 +53,7 @@
             * self.slots_of(endpoint, request)
             * window_us;
         let grants = budget / TURNS_OVERLAPPING_WINDOW as f64 / grant;
-        // A single request known to be very heavy could overload the endpoint by itself.
+        // A single request that is known to be very heavy could overload the endpoint by itself.
         if grants < 1.0 {
             return false;
         }
@@ -59,8 +61,8 @@
         endpoint.slow_start_spent_in(turn) + cost <= self.own_grants(endpoint, turn, grants) * grant
     }
 
-    /// Records what a request takes of our share, before it is sent to an endpoint that may be in
-    /// slow start.
+    /// Charges a request to this dispatcher's share before it is sent; does nothing for an endpoint
+    /// that is not in slow start.
     pub(super) fn spend_slow_start_budget(
         &mut self,
         now: Timestamp,
@@ -78,7 +80,7 @@
         endpoint.slow_start_turn = turn;
     }
 
-    /// How long ago an endpoint in slow start has started; `None` for any other endpoint.
+    /// Time since the start of an endpoint in slow start; `None` for any other endpoint.
     pub(super) fn time_in_slow_start(
         &self,
         now: Timestamp,
@@ -95,14 +97,14 @@
         in_slow_start.then_some(age)
     }
 
-    /// The share of its capacity that an endpoint has at this age: it grows evenly to 1.
+    /// The share of its capacity that an endpoint has at this age; it grows linearly to 1.
     fn capacity_share(&self, age: Duration) -> f64 {
         let initial = self.settings.slow_start_share;
         initial + (1.0 - initial) * micros_f64(age) / micros_f64(self.settings.slow_start_duration)
     }
 
-    /// Whether a request misses its objective at this share of the capacity even if it starts at
-    /// once.
+    /// Whether a request would miss its objective at this share of the capacity even if it started
+    /// at once.
     fn misses_objective(&self, capacity_share: f64, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
         let objective_runs = class.objective_stretch
@@ -110,12 +112,13 @@
         capacity_share * objective_runs < OBJECTIVE_MARGIN
     }
 
-    /// What a request takes of an endpoint, in slot-microseconds: a slow kind is granted fewer
-    /// requests than a fast one with as many slots.
+    /// What a request takes of the budget, in slot-microseconds. An endpoint of a slow kind is
+    /// granted fewer requests than one of a fast kind with as many slots.
     fn slow_start_cost(&self, endpoint: &Endpoint, request: &Request) -> f64 {
         self.expected_run_us(request) * self.state.kind_run_ratio[endpoint.kind.0] * request.slots
     }
 
+    /// The longest mean running time of a class, in microseconds.
     fn longest_run_us(&self) -> f64 {
         self.state
             .classes
@@ -124,8 +127,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// The number of the turn at this age. Each dispatcher's turns begin at a time of their own, so
-    /// that requests queued for a turn are not all sent at once.
+    /// The number of the turn at this age. The turns of each dispatcher have an offset of their
+    /// own, so that requests queued for a turn are not all sent at once.
     fn slow_start_turn(&self, age: Duration) -> u64 {
         let length_us =
             whole_micros(divide(self.settings.overload_window, TURNS_PER_WINDOW)).max(1);
@@ -134,8 +137,8 @@
         (whole_micros(age) + offset_us) / length_us
     }
 
-    /// How many of a turn's grants are this dispatcher's. Spread evenly however the numbers of
-    /// dispatchers are dealt to zones.
+    /// How many of the grants of a turn belong to this dispatcher. The remainder is spread evenly,
+    /// however the numbers of dispatchers are assigned to zones.
     fn own_grants(&self, endpoint: &Endpoint, turn: u64, grants: f64) -> f64 {
         let offset = unit_hash(endpoint.process_hash ^ turn);
         let position = (golden_multiple(self.settings.instance_index) + offset).fract();
--- a/crates/decisions/src/policy/start_signals.rs
+++ b/crates/decisions/src/policy/start_signals.rs
@@ -1,25 +1,26 @@
-//! What the time until a request starts tells about an endpoint.
+//! What the time until a request starts shows about its endpoint.
 //!
-//! Where endpoints report starts, one is news that is milliseconds old. A prompt start means that
-//! others left capacity free, a late one that the endpoint has a queue: reports a second old would
-//! go on sending requests into it.
+//! Where endpoints report starts, such a report is only milliseconds old. A prompt start shows that
+//! other dispatchers left capacity free, and a late one that the endpoint has a queue; on load
+//! reports that are a second old alone, requests would continue to be sent into that queue.
 
 use super::Balancer;
 use super::outcomes::REJECTION_BACKOFF;
 use crate::api::{EndpointId, RequestId, Timestamp};
 use crate::time::whole_micros;
 
-/// The back-off from an endpoint that kept a request in its queue is doubled this often at most.
+/// The back-off from an endpoint that kept a request in its queue is doubled at most this many
+/// times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
-/// The zone usage that a prompt start shows at most.
+/// The most zone usage that a prompt start indicates.
 const USAGE_AT_PROMPT_START: f64 = 0.3;
-/// The zone usage that a late start shows at least.
+/// The least zone usage that a late start indicates.
 const USAGE_AT_LATE_START: f64 = 1.5;
-/// The step of the zone usage towards either.
+/// EWMA weight of either in the zone usage.
 const START_SIGNAL_EWMA_WEIGHT: f64 = 0.2;
 
 impl Balancer {
-    /// An attempt has reported its start.
+    /// Updates the estimated usage by other dispatchers when an attempt reports its start.
     pub(super) fn on_attempt_started(
         &mut self,
         now: Timestamp,
@@ -59,8 +60,10 @@
         }
     }
 
+    /// Raises the estimated usage of the zones in which starts have not been reported in time.
+    ///
     /// Where load cannot be polled, a burst would fill the queues of all endpoints before the first
-    /// response, and with it a report, tells of it. Starts that are late tell at once.
+    /// response, and with it a load report, shows this. Late starts show it at once.
     pub(super) fn record_missed_starts(&mut self, now: Timestamp) {
         if !self.settings.reports_start || !self.is_large_unpolled_fleet() {
             return;
@@ -78,11 +81,11 @@
         }
     }
 
-    /// An attempt was cancelled in the queue of an endpoint.
+    /// Backs off from an endpoint in whose queue an attempt was cancelled.
     ///
-    /// An endpoint may show free slots into which the head of its queue does not fit. Each of many
-    /// dispatchers would send it requests that wait behind that head, cancel them, and forget what
-    /// it has seen.
+    /// An endpoint may report free slots that the request at the head of its queue does not fit
+    /// into. Otherwise each of many dispatchers would send it requests that wait behind that head,
+    /// cancel them, and keep no record of the queue.
     pub(super) fn back_off_after_queue_cancellation(&mut self, now: Timestamp, id: EndpointId) {
         if !self.settings.reports_start || !self.is_large_polled_fleet() {
             return;
