--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -1,9 +1,9 @@
-//! Which requests are queued here, in which order, and which are shed.
+//! Which requests this dispatcher queues, in which order, and which it sheds.
 //!
-//! A request that no endpoint would start now is queued, the highest priority weight for a slot's
-//! time first. It is shed at the latest start that probably still meets its objective or, where its
-//! class has a `max_queue_time`, at the end of that. Where the queue has a bound, the least
-//! valuable request is shed for one more.
+//! A request that no endpoint would start now is queued, ordered by priority weight per slot-time,
+//! the highest first. It is shed at the latest start that probably still meets its objective or,
+//! where its class has a `max_queue_time`, when that time has passed. Where the length of the queue
+//! is limited, the least valuable request is shed when the limit is exceeded.
 
 use super::Balancer;
 use super::selection::{EndpointQueueing, Selection};
@@ -13,13 +13,14 @@
 
 /// Ticks between the latest start of a request and its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 2;
-/// The objective stretch above this is slack, and the second share of it may be spent in the queue.
-/// More would raise the learnt running time, and with it the allowance.
+/// Objective stretch above this is slack.
 const STRETCH_WITHOUT_SLACK: f64 = 1.2;
+/// The share of the slack that may be spent in the queue. More would raise the learnt running time,
+/// and with it this allowance.
 const SLACK_SHARE: f64 = 0.5;
 
-/// A request that no endpoint would start: neither would a later one of its class that takes as
-/// much.
+/// A request that no endpoint would start. A later request of its class that takes as much would
+/// not be started either.
 struct Unplaceable {
     class: ClassId,
     slots: f64,
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Whether `request` would not be started either.
     fn covers(&self, request: &Request) -> bool {
         self.class == request.class
             && self.slots <= request.slots
@@ -65,12 +67,13 @@
         }
     }
 
-    /// Sends queued requests, the most valuable first, and gives up those that are too late.
+    /// Sends queued requests, the most valuable first, and sheds or fails those that are too late.
     pub(super) fn serve_queue(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.state.queue.is_empty() {
             return;
         }
-        // Bounds the work for each event, which would grow with queued requests times endpoints.
+        // Bounds the work per event, which would otherwise grow with the number of queued requests
+        // times the number of endpoints.
         let mut unplaceable: Vec<Unplaceable> = Vec::new();
         for id in self.take_sorted_queue() {
             let request = &self.state.requests[&id];
@@ -92,7 +95,8 @@
         }
     }
 
-    /// Empties the queue. Requests of the same value stay in the order of their arrival.
+    /// Empties the queue, and returns its requests sorted by value density, the highest first.
+    /// Requests of the same density stay in the order of the queue.
     fn take_sorted_queue(&mut self) -> Vec<RequestId> {
         let mut queue = std::mem::take(&mut self.state.queue);
         queue.retain(|id| {
@@ -114,8 +118,8 @@
             .deadline
             .saturating_sub(TICKS_BEFORE_DEADLINE * self.tick_interval());
         if let Some(max_queue_time) = class.max_queue_time {
-            // A running time that is only guessed, or far too long, would shed what has most of its
-            // time left.
+            // A running time that is only a guess, or far too long, would shed requests that have
+            // most of their time left.
             let is_learnt = self.state.classes[request.class.0].served > 0;
             let run = from_micros_f64(if is_learnt { expected_run_us } else { 0.0 });
             let run = run.min(divide(class.deadline, 2));
@@ -127,8 +131,8 @@
         (request.started_at + class.latency_objective + from_micros_f64(slack_us)).min(latest)
     }
 
-    /// Priority weight for a slot's time: for its hinted work, where the weight is one for a unit
-    /// of work, or for the running time of its class.
+    /// Priority weight per slot-time. With a work hint the weight is already one per unit of work;
+    /// otherwise the running time of the class is used.
     fn value_density(&self, request: &Request) -> f64 {
         let run = request
             .work_hint
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -1,36 +1,40 @@
 //! When an endpoint is checked.
 //!
-//! - Before a request is sent on old news (see the module `selection`): each request pays for a few
-//!   checks, which may be saved up.
-//! - When a connection to it failed, and when its ejection ends.
-//! - When it is silent for several mean running times with an attempt of ours in flight.
-//! - In turn, so that something is known of the endpoints that are not at the head of the order.
-//!   With three endpoints to a dispatcher or more each gets one check for each round of requests;
-//!   with fewer, proportionally fewer checks, down to none where dispatchers outnumber endpoints:
-//!   there all would send to the few that old news shows empty.
+//! - Before a request is sent without a recent update of the endpoint (see the module `selection`):
+//!   each request adds credit for a few checks, and credit may be saved up.
+//! - When a connection to the endpoint failed, and when its ejection ends.
+//! - When the endpoint is silent for several mean running times with an attempt of this dispatcher
+//!   in flight.
+//! - In rotation, so that something is known of the endpoints that are not at the head of the
+//!   preference order. With three endpoints per dispatcher or more, each gets one check while as
+//!   many requests arrive as there are endpoints. With fewer, the checks are proportionally fewer,
+//!   down to none where dispatchers outnumber endpoints: there, all dispatchers would send to the
+//!   few endpoints that old reports show as empty.
 
 use super::Balancer;
 use crate::api::{Action, EndpointId, HealthCheckResult, Outcome, RequestId, Timestamp};
 use crate::time::{divide, from_micros_f64, micros_f64};
 use std::time::Duration;
 
-/// Health checks that each request pays for, and how many may be saved up.
+/// Health checks that each request adds to the credit.
 pub(super) const CREDIT_PER_REQUEST: f64 = 2.0;
+/// The most health checks that may be saved up.
 pub(super) const MAX_CREDIT: f64 = 8.0;
-/// Silence, in mean running times, after which an endpoint with an attempt of ours in flight is
-/// checked.
+/// Silence, in mean running times, after which an endpoint with an attempt of this dispatcher in
+/// flight is checked.
 const MAX_SILENCE_RUNS: f64 = 3.0;
 /// Endpoints that one tick considers for a refresh.
 const REFRESHES_PER_TICK: usize = 16;
 /// The shortest time between two refreshes of one endpoint.
 const MIN_REFRESH_INTERVAL_US: f64 = 500_000.0;
-/// The share of endpoints that are refreshed grows by this with the endpoints that a dispatcher has
-/// to itself.
+/// The share of the endpoints that are refreshed is this multiple of (endpoints - dispatchers) /
+/// endpoints, limited to the range from 0 to 1.
 const REFRESH_SHARE_SLOPE: f64 = 1.5;
-/// Step of the mean time that a health check takes.
+/// EWMA weight of a health check in the mean time that one takes.
 const CHECK_DURATION_EWMA_WEIGHT: f64 = 0.1;
 
 impl Balancer {
+    /// Starts a health check of an endpoint.
     pub(super) fn check_health(
         &mut self,
         now: Timestamp,
@@ -43,7 +47,7 @@
         actions.push(Action::CheckHealth { endpoint: id });
     }
 
-    /// Checks the endpoint that a request is about to be sent to.
+    /// Checks the endpoint that a request is about to be sent to, at the expense of the credit.
     pub(super) fn check_for_request(
         &mut self,
         now: Timestamp,
@@ -58,7 +62,7 @@
         self.check_health(now, endpoint, actions);
     }
 
-    /// A health check has ended.
+    /// Handles the end of a health check.
     pub(super) fn on_health_checked(
         &mut self,
         now: Timestamp,
@@ -81,7 +85,7 @@
                     self.on_load_report(now, id, report);
                 }
             }
-            // It runs, and only answers no more health checks at once.
+            // The endpoint is alive; it only rejected a health check beyond its limit.
             Outcome::Rejected => self.state.endpoint_mut(id).last_heard_at = now,
             Outcome::NotSent => {}
             Outcome::Error
@@ -93,8 +97,10 @@
         self.serve_queue(now, actions);
     }
 
-    /// An endpoint that failed and is back before the list tells may have restarted, and is taken
-    /// for one in slow start; so is one that only could not be reached.
+    /// Ends the ejection of an endpoint whose health check succeeded.
+    ///
+    /// An ejected endpoint that is back before the endpoint list shows a restart may have
+    /// restarted, and is treated as one in slow start. So is one that merely could not be reached.
     fn on_check_passed(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
@@ -105,7 +111,8 @@
         }
     }
 
-    /// A check sent before a stall proves nothing, unless the endpoint was suspected already.
+    /// Ejects an endpoint whose health check failed. A check that was sent before a stall of this
+    /// process proves nothing, unless the endpoint was suspected already.
     fn on_check_failed(&mut self, now: Timestamp, id: EndpointId) {
         let resumed_at = self.state.resumed_at;
         let endpoint = self.state.endpoint_mut(id);
@@ -115,7 +122,8 @@
         }
     }
 
-    /// Checks monitored endpoints that are silent, or whose ejection has ended.
+    /// Checks monitored endpoints that are silent or whose ejection has ended, and stops monitoring
+    /// those that no longer need it.
     pub(super) fn check_monitored(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let silence = from_micros_f64(MAX_SILENCE_RUNS * self.state.mean_run_us);
         let mut monitored = std::mem::take(&mut self.state.monitored);
@@ -144,7 +152,8 @@
         endpoint.own_attempts > 0 && is_silent && no_recent_check
     }
 
-    /// Where health checks are not allowed, an ejection that has ended leads to probation at once.
+    /// Checks a monitored endpoint. Where health checks are not allowed, an endpoint whose ejection
+    /// has ended is put on probation at once.
     fn recheck(&mut self, now: Timestamp, id: EndpointId, actions: &mut Vec<Action>) {
         if self.settings.health_checks {
             return self.check_health(now, id, actions);
@@ -153,7 +162,7 @@
         endpoint.on_probation |= endpoint.ejected_until.take().is_some();
     }
 
-    /// Checks endpoints in turn, in the order of the first class.
+    /// Checks endpoints in rotation, in the preference order of the first class.
     pub(super) fn refresh_reports(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let count = self
             .preferences
@@ -179,6 +188,9 @@
         }
     }
 
+    /// Adds credit for the rotation: for each mean time between requests that has passed, one check
+    /// times the share of the endpoints that are refreshed. The credit is full at the first call
+    /// and where all endpoints are refreshed.
     fn accrue_refresh_credit(&mut self, now: Timestamp, count: usize) {
         let surplus_share = 1.0 - self.settings.instance_count as f64 / count as f64;
         let refresh_share = (REFRESH_SHARE_SLOPE * surplus_share).clamp(0.0, 1.0);
--- a/crates/decisions/src/policy/outlier.rs
+++ b/crates/decisions/src/policy/outlier.rs
@@ -1,40 +1,44 @@
-//! When an endpoint is ejected, on probation or avoided, and when a zone is lost.
+//! When an endpoint is suspected, ejected, on probation or avoided, and when a zone is lost.
 //!
-//! - An endpoint whose connection failed is suspected: it gets nothing until a health check ends.
-//! - One whose health check failed is ejected for a back-off that doubles with each ejection in a
-//!   row, and checked again after it.
-//! - A health check that succeeds brings a suspected endpoint back as it was, and an ejected one on
-//!   probation: one request at a time until it responds. So does progress of an attempt there.
-//! - An endpoint that completes far less than the mean one for the same utilization is slow, and
-//!   comes last where dispatchers outnumber endpoints.
-//! - One that answers with errors far more often than the others is failing, and gets one request
-//!   at a time, as on probation.
-//! - A zone is lost when several of its endpoints are ejected and none has been heard of since.
+//! - An endpoint whose connection failed is suspected: nothing is sent to it until a health check
+//!   ends.
+//! - An endpoint whose health check failed is ejected for a back-off, which doubles with each
+//!   ejection in a row, and is checked again after it.
+//! - A successful health check brings a suspected endpoint back as it was, and puts an ejected one
+//!   on probation: it gets one request at a time until it responds. A response, or progress of an
+//!   attempt, ends ejection and probation at once.
+//! - An endpoint that completes far fewer requests than the mean one at the same utilization is
+//!   slow. It is considered last where dispatchers outnumber endpoints.
+//! - An endpoint that returns errors far more often than the others is failing, and gets one
+//!   request at a time, as on probation.
+//! - A zone is lost when several of its endpoints are ejected and none has been heard from since.
 
 use super::Balancer;
 use crate::api::{Action, EndpointId, Timestamp, ZoneId};
 use crate::state::Endpoint;
 use std::time::Duration;
 
-/// The first and the longest ejection.
+/// Duration of the first ejection in a row.
 const MIN_EJECTION: Duration = Duration::from_millis(250);
+/// Longest duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// Doublings after which the longest ejection is surely reached.
+/// Doublings after which the longest ejection is certainly reached.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// Below this CPU utilization an endpoint's throughput says nothing.
+/// CPU utilization below which the throughput of an endpoint says nothing about its speed.
 const MIN_UTILIZATION: f64 = 0.3;
-/// An endpoint is slow if it completes less than this share of what the mean one does at the same
-/// utilization.
+/// An endpoint is slow if it completes less than this share of what the mean endpoint completes at
+/// the same utilization.
 const SLOW_THROUGHPUT_RATIO: f64 = 0.4;
-/// An endpoint is failing above this error rate, beyond this multiple of the mean rate of the
-/// others.
+/// An endpoint is failing if its error rate exceeds this by more than a multiple of the mean error
+/// rate of the others.
 const MIN_ERROR_RATE: f64 = 0.1;
+/// That multiple of the mean error rate of the others.
 const ERROR_RATE_MULTIPLE: f64 = 2.0;
-/// A zone is lost with at least this many endpoints ejected.
+/// Number of ejected endpoints from which a zone is considered lost.
 const MIN_EJECTED_IN_LOST_ZONE: usize = 2;
 
 impl Balancer {
-    /// Whether an endpoint is slow beside the mean one.
+    /// Whether an endpoint is slow compared to the mean one.
     pub(super) fn is_slow(&self, endpoint: &Endpoint) -> bool {
         let own = &endpoint.throughput;
         let mean = &self.state.fleet_throughput;
@@ -43,9 +47,10 @@
                 < SLOW_THROUGHPUT_RATIO * mean.requests_per_second * own.cpu_utilization
     }
 
-    /// Whether an endpoint answers with errors far more often than the others. It would always have
-    /// capacity, and draw all requests to itself; requests that are invalid fail wherever they are
-    /// sent.
+    /// Whether an endpoint returns errors far more often than the others.
+    ///
+    /// Such an endpoint would always have capacity and attract all requests. The rate is compared
+    /// to that of the others because invalid requests fail wherever they are sent.
     pub(super) fn is_failing(&self, endpoint: &Endpoint) -> bool {
         if endpoint.error_rate <= MIN_ERROR_RATE {
             return false;
@@ -79,8 +84,8 @@
         members().filter(is_silent).count() >= MIN_EJECTED_IN_LOST_ZONE
     }
 
-    /// A connection to an endpoint failed. That may be the connection alone, so a health check
-    /// follows at once.
+    /// Marks an endpoint as suspected after a connection to it failed. Only the connection may have
+    /// failed, so a health check follows at once; without health checks, the endpoint is ejected.
     pub(super) fn suspect(&mut self, now: Timestamp, id: EndpointId, actions: &mut Vec<Action>) {
         if !self.settings.health_checks {
             return self.eject(now, id);
@@ -90,7 +95,7 @@
         }
         self.state.endpoint_mut(id).ejected_until = Some(now);
         self.state.monitor(id);
-        // An endpoint that is draining or gone is not checked any more.
+        // An endpoint that is draining or gone is no longer checked.
         let endpoint = self.state.endpoint(id);
         if endpoint.is_ready() && !endpoint.health_check_in_flight {
             self.check_health(now, id, actions);
--- a/crates/decisions/src/policy/quota.rs
+++ b/crates/decisions/src/policy/quota.rs
@@ -1,9 +1,9 @@
-//! What a request is worth whose tenant exceeds its quota.
+//! Which priority weight a request keeps if its tenant exceeds its quota.
 //!
-//! Quotas hold for all dispatchers together, and each dispatcher is given an equal part. Which
-//! requests are beyond the quota cannot be told, only how many are: at twice its quota, each
-//! request of a tenant keeps half of its weight, and the over-quota weight of the other half. A
-//! flood of one tenant thus yields its slots to the others.
+//! Quotas apply to all dispatchers together, and each dispatcher enforces an equal part. It is not
+//! known which requests are beyond the quota, only how many: at twice its quota, each request of a
+//! tenant keeps half of its weight, plus the over-quota weight for the other half. A burst from one
+//! tenant thus yields its slots to the other tenants.
 
 use super::Balancer;
 use crate::api::{TenantId, Timestamp};
@@ -12,8 +12,10 @@
 const RATE_TIME_CONSTANT_US: f64 = 2_000_000.0;
 
 impl Balancer {
-    /// The share of its class's priority weight that a request of this tenant keeps, from 0 to 1.
-    /// Counts the request.
+    /// Counts a request against the quota of its tenant. Returns the share of the priority weight
+    /// of its class that the request keeps, from 0 to 1.
+    ///
+    /// Where there are tenants, a request that belongs to none of them counts as beyond the quota.
     pub(super) fn count_against_quota(&mut self, now: Timestamp, tenant: Option<TenantId>) -> f64 {
         let over_quota = self.settings.over_quota_weight;
         let Some(TenantId(tenant)) = tenant else {
