--- a/crates/decisions/src/rules/attempts.rs
+++ b/crates/decisions/src/rules/attempts.rs
@@ -1,12 +1,12 @@
-//! Whether a request may be sent, once more or to another endpoint, or shed with the promise that
-//! it had no effect.
+//! Whether a request may be sent, again or to another endpoint, or may be shed, after which a retry
+//! by the client must be harmless.
 
 use super::Denial;
 use crate::api::{
     ClassId, DeduplicationScope, EndpointId, Idempotency, Settings, Timestamp, ZoneId,
 };
 
-/// What is known of the effect of an attempt.
+/// What is known about the effect of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
     /// It has no outcome yet.
@@ -17,7 +17,7 @@
     MayHaveRun,
 }
 
-/// An attempt of a request, as the rules see it.
+/// The facts about an attempt that the rules depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptRecord {
     /// Where it was sent.
@@ -28,19 +28,20 @@
     pub cell: Option<u64>,
     /// When it was sent.
     pub sent_at: Timestamp,
-    /// What is known of its effect.
+    /// What is known about its effect.
     pub execution: Execution,
 }
 
-/// The endpoints that recognise a repeat of an attempt.
+/// The endpoints that recognise a repeat of an attempt as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeduplicationGroup {
     scope: DeduplicationScope,
+    /// The first attempt that may have run.
     first: AttemptRecord,
 }
 
 impl DeduplicationGroup {
-    /// Whether an endpoint in this zone and cell is one of them.
+    /// Whether an endpoint in this zone and cell belongs to the group.
     pub fn contains(&self, zone: ZoneId, cell: Option<u64>) -> bool {
         match self.scope {
             DeduplicationScope::All => true,
@@ -53,18 +54,19 @@
 /// What the rules permit for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permission {
-    /// It may be shed: a retry by the client is harmless.
+    /// Whether it may be shed: a retry by the client is harmless.
     pub may_shed: bool,
-    /// It may be sent (again): to any endpoint, or only to those that recognise a repeat.
+    /// Whether it may be sent (again). `Ok(None)`: to any endpoint; `Ok(Some(_))`: only to those
+    /// that recognise a repeat.
     pub send: Result<Option<DeduplicationGroup>, Denial>,
 }
 
 impl Permission {
-    /// Whether it may be sent to an endpoint in this zone and cell.
+    /// Checks whether it may be sent to an endpoint in this zone and cell.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// The reason why it may not.
     pub fn check_endpoint(&self, zone: ZoneId, cell: Option<u64>) -> Result<(), Denial> {
         match self.send? {
             Some(group) if !group.contains(zone, cell) => Err(Denial::MayHaveRun),
@@ -73,7 +75,7 @@
     }
 }
 
-/// What the rules permit for a request of this class, after these attempts.
+/// Returns what the rules permit for a request of this class, after these attempts.
 pub fn attempt_permission(
     now: Timestamp,
     settings: &Settings,
@@ -82,36 +84,36 @@
 ) -> Permission {
     let mut count = 0;
     let mut in_flight = 0;
-    let mut first = None;
+    let mut first_possible_run = None;
     for attempt in attempts {
         count += 1;
         in_flight += usize::from(attempt.execution == Execution::InFlight);
         if attempt.execution != Execution::NeverRan {
-            first = first.or(Some(attempt));
+            first_possible_run = first_possible_run.or(Some(attempt));
         }
     }
     let max_in_flight = 1 + usize::from(settings.hedging);
     let exhausted = count >= settings.max_attempts || in_flight >= max_in_flight;
-    let another = if exhausted {
+    let another_attempt = if exhausted {
         Err(Denial::NoFurtherAttempt)
     } else {
         Ok(None)
     };
-    match (first, settings.classes[class.0].idempotency) {
+    match (first_possible_run, settings.classes[class.0].idempotency) {
         (None, _) | (_, Idempotency::Idempotent) => Permission {
             may_shed: true,
-            send: another,
+            send: another_attempt,
         },
         (Some(_), Idempotency::NonIdempotent) => Permission {
             may_shed: false,
             send: Err(Denial::MayHaveRun),
         },
         (Some(first), Idempotency::Keyed { scope, window }) => {
-            // A repeat arrives as late as its connection comes up, and has to arrive within the
-            // window.
+            // Setting up a connection may delay a repeat by up to the connect timeout, and it has
+            // to arrive within the window.
             let in_window = now + settings.connect_timeout < first.sent_at + window;
             let send = if in_window {
-                another.map(|_| Some(DeduplicationGroup { scope, first }))
+                another_attempt.map(|_| Some(DeduplicationGroup { scope, first }))
             } else {
                 Err(Denial::MayHaveRun)
             };
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -1,97 +1,97 @@
-//! How long an endpoint list may be used: a lease, held from the time at which its source has shown
-//! it to be current.
+//! How long an endpoint list may be used: under a lease, from the time at which its source has
+//! shown the list to be current.
 //!
-//! Only what a source has said renews a lease. Silence renews nothing, whatever its reason: a call
-//! that fails, a watch that ends or one that is silent may each hide a change.
+//! Only messages from the source renew a lease. Silence renews nothing, whatever its cause: a call
+//! that fails, a watch that ends or a watch that is silent may each hide a change.
 
 use crate::api::{Settings, Timestamp};
 use std::time::Duration;
 
-/// A dispatcher counts as notified of a change this long after discovery had it and could be
-/// reached, whether or not the change arrived.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
-/// The same after a new configuration has moved discovery.
-const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A process may be held up for this long between reading the clock and writing.
+/// A dispatcher counts as notified of a change this long after discovery had the change and could
+/// be reached, whether or not the change arrived.
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
+/// The same limit after a new configuration has moved discovery.
+const MAX_NOTIFICATION_DELAY_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// A process may be stalled for this long between reading the clock and writing.
 const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
 
-/// What a source of endpoints has said, or failed to say.
+/// A message from a source of endpoints, or the failure to get one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseSignal {
-    /// It sent a list, a change, or that nothing has changed.
+    /// It sent a list or a change, or reported that nothing has changed.
     Confirmed,
-    /// It sent a list older than one it has sent before: what has changed since is unknown.
+    /// It sent a list older than an earlier one: what has changed since is not known.
     Outdated,
-    /// Its watch has ended, has sent something unusable, or was given up after a silence.
+    /// Its watch ended, sent something unusable, or was abandoned after a silence.
     WatchEnded,
-    /// A call for a watch or a list failed, in whatever way.
+    /// A call for a watch or a list failed for any reason.
     CallFailed,
 }
 
-/// How long the list of a source holds.
+/// How long the list of a source remains valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// After the last message of a watch that is open, or silent and not yet given up.
+    /// Time after the last message of a watch that is open, or that is silent and not yet
+    /// abandoned.
     watched: Duration,
-    /// Once the watch has ended.
+    /// The limit once the watch has ended.
     unwatched: UnwatchedTerm,
 }
 
-/// How long a list holds without an open watch.
+/// How long a list remains valid without an open watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UnwatchedTerm {
     /// This long after the last message.
     AfterLastMessage(Duration),
-    /// This long after the end of the watch: an agent beside the dispatcher counts as having
-    /// notified it at once, watched or not.
+    /// This long after the end of the watch. An agent beside the dispatcher counts as notifying it
+    /// at once, whether or not the dispatcher is watching.
     AfterWatchEnd(Duration),
 }
 
 impl LeaseTerms {
-    /// The terms that the settings give for the discovery service.
+    /// The terms for the discovery service under these settings.
     pub fn for_discovery(settings: &Settings) -> LeaseTerms {
         let unwatched = if !settings.polls_discovery {
             UnwatchedTerm::AfterWatchEnd(settings.drain_grace.saturating_sub(MAX_PROCESS_STALL))
         } else if settings.max_poll_interval.is_zero() {
-            UnwatchedTerm::AfterLastMessage(NOTIFIED_WITHIN)
+            UnwatchedTerm::AfterLastMessage(MAX_NOTIFICATION_DELAY)
         } else {
-            UnwatchedTerm::AfterLastMessage(settings.max_poll_interval.min(NOTIFIED_WITHIN))
+            UnwatchedTerm::AfterLastMessage(settings.max_poll_interval.min(MAX_NOTIFICATION_DELAY))
         };
         LeaseTerms {
-            watched: NOTIFIED_WITHIN,
+            watched: MAX_NOTIFICATION_DELAY,
             unwatched,
         }
     }
 
-    /// The terms of a source with a session of its own, whose end it notices: its list holds as
-    /// long as that of a watch, however the session ends.
+    /// The terms for a source with a session of its own, whose end the dispatcher notices: its list
+    /// remains valid for as long as that of a watch, however the session ends.
     pub fn for_session() -> LeaseTerms {
         LeaseTerms {
-            watched: NOTIFIED_WITHIN,
-            unwatched: UnwatchedTerm::AfterLastMessage(NOTIFIED_WITHIN),
+            watched: MAX_NOTIFICATION_DELAY,
+            unwatched: UnwatchedTerm::AfterLastMessage(MAX_NOTIFICATION_DELAY),
         }
     }
 }
 
 /// The lease on the list of one source.
 ///
-/// A list is used only while it is confirmed. The list in a configuration is not, unless there is
-/// no discovery service that could: its age is unknown, and a new process counts as notified of
-/// every change from its first moment.
+/// A list is used only while it is confirmed. The list in a configuration is not confirmed, unless
+/// there is no discovery service that could confirm it: its age is not known, and a new process
+/// counts as notified of every change from its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
-    /// `None`: the source is present for as long as it lists anything, and its list does not
-    /// expire.
+    /// `None`: the source is present while it lists anything, and its list does not expire.
     terms: Option<LeaseTerms>,
     state: LeaseState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LeaseState {
-    /// The source has said nothing yet.
+    /// The source has sent nothing yet.
     #[default]
     Unconfirmed,
-    /// The list was current at `as_of`; the lease ends at `expires_at`.
+    /// The list was current at `as_of`; the lease expires at `expires_at`.
     Confirmed {
         as_of: Timestamp,
         expires_at: Timestamp,
@@ -99,20 +99,20 @@
 }
 
 impl Lease {
-    /// Sets the terms by which the list expires from now on. What the source has sent before holds
-    /// no longer than after a move of discovery.
+    /// Sets the terms under which the list expires from now on. What the source sent before remains
+    /// valid no longer than after a move of discovery.
     pub fn set_terms(&mut self, now: Timestamp, terms: LeaseTerms) {
         self.terms = Some(terms);
         if let LeaseState::Confirmed { expires_at, .. } = &mut self.state {
-            *expires_at = (*expires_at).min(now + NOTIFIED_AFTER_MOVE);
+            *expires_at = (*expires_at).min(now + MAX_NOTIFICATION_DELAY_AFTER_MOVE);
         }
     }
 
-    /// Takes in a signal of the source.
+    /// Updates the lease on a signal from the source.
     ///
-    /// `as_of` is the earliest time at which the signal can have been true: for a message, when it
-    /// can have been sent; for the end of a watch, when the watch was last seen open or was given
-    /// up.
+    /// `as_of` is the earliest time at which the signal can have been true: for a message, the
+    /// earliest time at which it can have been sent; for the end of a watch, when the watch was
+    /// last seen open or was abandoned.
     pub fn record_signal(&mut self, as_of: Timestamp, signal: LeaseSignal) {
         let Some(terms) = self.terms else {
             if signal == LeaseSignal::Confirmed {
@@ -124,19 +124,20 @@
             return;
         };
         match signal {
-            LeaseSignal::Confirmed => self.confirm(as_of, terms),
+            LeaseSignal::Confirmed => self.renew(as_of, terms),
             LeaseSignal::WatchEnded => self.end_watch(as_of, terms),
-            // A crowded discovery fails calls in the same way as one that is down, and only the
-            // second has nothing to tell: a failure renews nothing.
+            // An overloaded discovery service fails calls in the same way as one that is down, and
+            // only the one that is down has no changes to report. A failed call therefore renews
+            // nothing.
             LeaseSignal::CallFailed | LeaseSignal::Outdated => {}
         }
     }
 
-    /// Renews the lease, unless the message was read late: it must not take back what is known
-    /// since.
-    fn confirm(&mut self, as_of: Timestamp, terms: LeaseTerms) {
+    /// Renews the lease. A message that was read late is ignored, as it must not override what has
+    /// become known since.
+    fn renew(&mut self, as_of: Timestamp, terms: LeaseTerms) {
         let is_stale =
-            matches!(self.state, LeaseState::Confirmed { as_of: known, .. } if known > as_of);
+            matches!(self.state, LeaseState::Confirmed { as_of: latest, .. } if latest > as_of);
         if !is_stale {
             self.state = LeaseState::Confirmed {
                 as_of,
@@ -145,17 +146,18 @@
         }
     }
 
-    /// Shortens the lease to what holds without a watch; it never prolongs it.
+    /// Shortens the lease to the time for which the list remains valid without a watch; never
+    /// extends it.
     fn end_watch(&mut self, as_of: Timestamp, terms: LeaseTerms) {
         let LeaseState::Confirmed {
-            as_of: known,
+            as_of: latest,
             expires_at,
         } = &mut self.state
         else {
             return;
         };
         let end = match terms.unwatched {
-            UnwatchedTerm::AfterLastMessage(term) => *known + term,
+            UnwatchedTerm::AfterLastMessage(term) => *latest + term,
             UnwatchedTerm::AfterWatchEnd(term) => as_of + term,
         };
         *expires_at = (*expires_at).min(end);
@@ -166,7 +168,8 @@
         matches!(self.state, LeaseState::Confirmed { expires_at, .. } if now < expires_at)
     }
 
-    /// When the lease ends unless it is renewed; `None` where it does not end or is not confirmed.
+    /// When the lease expires unless it is renewed; `None` if it does not expire or is not
+    /// confirmed.
     pub fn expires_at(&self) -> Option<Timestamp> {
         match self.state {
             LeaseState::Confirmed { expires_at, .. } if expires_at < Timestamp::MAX => {
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -1,10 +1,11 @@
-//! What the rules of the service permit now.
+//! What the rules of the service permit at present.
 //!
-//! Everything that sends, repeats or sheds a request asks here: the decisions before they select an
-//! endpoint, and the core once more, at run time, before it carries a decision out. The functions
-//! are pure: they get the time and the facts, and keep no state but a [`Lease`].
+//! All code that sends, repeats or sheds a request calls these functions: the decisions before they
+//! select an endpoint, and the core again at run time, before it carries out a decision. The
+//! functions are pure: they take the time and the facts as arguments. The only state is a
+//! [`Lease`].
 //!
-//! - [`attempts`]: what may be sent again, or shed.
+//! - [`attempts`]: which requests may be sent again or shed.
 //! - [`membership`]: which endpoint list may be used, and until when.
 
 pub mod attempts;
@@ -24,10 +25,11 @@
     /// No time is left to wait for a response.
     #[error("the deadline has passed")]
     DeadlinePassed,
-    /// The settings allow no further attempt, or none beside the one in flight.
+    /// The settings allow no further attempt, or none beside those in flight.
     #[error("no further attempt is allowed")]
     NoFurtherAttempt,
-    /// An earlier attempt may have run, and the class allows no repeat, here or by now.
+    /// An earlier attempt may have run, and the class allows no repeat: at all, at this endpoint,
+    /// or any more.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
     /// The endpoint is not known.
@@ -36,13 +38,14 @@
     /// The endpoint is draining or gone.
     #[error("the endpoint is draining or gone")]
     EndpointLeaving,
-    /// The list that holds the endpoint is not confirmed, or was confirmed too long ago.
+    /// The list that contains the endpoint is not confirmed, or was confirmed too long ago.
     #[error("the endpoint list is not confirmed")]
     ListNotConfirmed,
 }
 
-/// Whether anything new, a request or a health check, may be sent to an endpoint in this state, on
-/// a list under this lease; and until when its first byte may be written, `None` for no limit.
+/// Checks whether a new request or health check may be sent to an endpoint in this state, on a list
+/// under this lease. Returns the time before which its first byte must be written; `None` for no
+/// limit.
 ///
 /// # Errors
 ///
