--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Whether `request` would not be started either.
+    /// Whether `request` is a later one of the same class that takes at least as much, and so would
+    /// not be started either.
     fn covers(&self, request: &Request) -> bool {
         self.class == request.class
             && self.slots <= request.slots
--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -3,8 +3,8 @@
 //! Capacity is counted in slots, and in memory where a request takes some: an endpoint has as much
 //! memory as it has slots. What this dispatcher's own attempts take is known. What other
 //! dispatchers take is estimated from load reports, and the estimate decays to the mean of the
-//! zone: otherwise an endpoint that sends no reports would be taken to stay as empty, or as full,
-//! as it was at its last one.
+//! zone. Without the decay, an endpoint that sends no more reports would look forever as empty, or
+//! as full, as at its last one.
 
 use super::Balancer;
 use crate::api::Timestamp;
@@ -72,8 +72,8 @@
         }
         let usage = self.state.zone_usage[endpoint.zone.0];
         if uses_zone_mean {
-            // The estimate decays: a zone once full would get no request that could show it to be
-            // free.
+            // The estimate decays: a zone once estimated as full would get no request that could
+            // show it to be free.
             let remaining = usage.remaining(now, LOAD_ESTIMATE_TIME_CONSTANT_US);
             return (total - SLOT_TOLERANCE) * usage.share / FULL_AT_ZONE_USAGE * remaining;
         }
@@ -95,8 +95,8 @@
         self.is_large_polled_fleet() && self.state.kind_slots[endpoint.kind.0] == 0.0
     }
 
-    /// Whether an endpoint would start the request now and keep `spare_slots` free, or all slots
-    /// that the request leaves if those are fewer.
+    /// Whether an endpoint would start the request now and keep `spare_slots` free. If the request
+    /// leaves fewer slots than that, these are enough.
     pub(super) fn would_start_now(
         &self,
         now: Timestamp,
@@ -104,7 +104,7 @@
         request: &Request,
         spare_slots: f64,
     ) -> bool {
-        // A limit on concurrent requests counts them whatever their size.
+        // The limit on concurrent requests applies whatever their size.
         if let Some(max_concurrent) = endpoint.max_concurrent {
             return endpoint.own_attempts < max_concurrent as usize;
         }
@@ -125,7 +125,7 @@
     /// Whether an endpoint would start the request from its queue while that still meets the
     /// objective.
     ///
-    /// True only where no endpoint of the kind has reported its slots, and for a request of several
+    /// True only where no endpoint of the kind has reported its slots, or for a request of several
     /// slots that lacks less than one while none is queued here: that many slots are seldom free at
     /// once unless the request waits for them at the head of the endpoint's queue.
     pub(super) fn would_start_soon(
--- a/crates/decisions/src/policy/eligibility.rs
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -2,8 +2,8 @@
 //!
 //! Inputs: the state of the endpoint, what the rules permit for the request, and the estimated
 //! health of the endpoint. An endpoint on probation, or one that returns errors, gets one request
-//! at a time, and only idempotent ones while any arrive: what goes wrong with such a request may be
-//! repeated elsewhere.
+//! at a time, and only idempotent ones while any arrive: a request that is lost or fails there may
+//! then be repeated elsewhere.
 
 use super::Balancer;
 use crate::api::{EndpointId, EndpointState, Idempotency, Timestamp};
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -47,7 +47,8 @@
         actions.push(Action::CheckHealth { endpoint: id });
     }
 
-    /// Checks the endpoint that a request is about to be sent to, at the expense of the credit.
+    /// Checks the endpoint that a request is about to be sent to, and charges the check to the
+    /// credit.
     pub(super) fn check_for_request(
         &mut self,
         now: Timestamp,
@@ -97,10 +98,10 @@
         self.serve_queue(now, actions);
     }
 
-    /// Ends the ejection of an endpoint whose health check succeeded.
+    /// Ends the suspicion or ejection of an endpoint whose health check succeeded.
     ///
-    /// An ejected endpoint that is back before the endpoint list shows a restart may have
-    /// restarted, and is treated as one in slow start. So is one that merely could not be reached.
+    /// An ejected endpoint may have restarted without the endpoint list showing it yet, so it is
+    /// treated as one in slow start. This includes an endpoint that merely could not be reached.
     fn on_check_passed(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Whether the only attempt of a request that is in flight is late or at risk.
+    /// Whether a request has exactly one attempt in flight, and that attempt is late to start,
+    /// overdue, or at a suspected or ejected endpoint.
     fn needs_hedge(&self, now: Timestamp, request: &Request, can_move_unstarted: bool) -> bool {
         let Some(attempt) = request.only_attempt_in_flight() else {
             return false;
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -110,8 +110,8 @@
         state.endpoints[id.index()].note_report(now, load, &mut state.report_interval_us);
     }
 
-    /// Slots in use and queued for. Free slots are never reported as less than 0, so by them alone
-    /// an endpoint with a long queue would seem about to become free.
+    /// Slots in use or needed by queued requests. Free slots are never reported as less than 0, so
+    /// by them alone an endpoint with a long queue would seem about to become free.
     fn busy_slots(&self, report: &LoadReport, slots: f64, free_slots: f64) -> f64 {
         let in_flight_slots = report
             .in_flight
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -67,7 +67,7 @@
 const MAX_RESUBSCRIPTION_DOUBLINGS: u32 = 2;
 
 /// Makes the balancing decisions of one dispatcher. Dispatchers share no state: each knows only
-/// what its own events have told it.
+/// what its own events contain.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
--- a/crates/decisions/src/policy/preference.rs
+++ b/crates/decisions/src/policy/preference.rs
@@ -31,9 +31,9 @@
 /// A kind is slow if its relative size per slot, times the smallest objective stretch, is below
 /// this multiple of the mean size per slot.
 const SLOW_KIND_MULTIPLE: f64 = 1.1;
-/// Requests with the same affinity key stay with one in this many endpoints ...
+/// Requests with the same affinity key are sent to the number of candidates divided by this ...
 const AFFINITY_DIVISOR: usize = 4;
-/// ... but with at least this many.
+/// ... but to at least this many.
 const MIN_AFFINITY_ENDPOINTS: usize = 4;
 /// A request waits for these endpoints for this share of its objective before any other may serve
 /// it.
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -8,7 +8,7 @@
 
 /// EWMA weight of a sample in the mean time between requests.
 const REQUEST_GAP_EWMA_WEIGHT: f64 = 0.1;
-/// The longest time between two requests that is counted.
+/// A longer time between two requests counts as this.
 const MAX_REQUEST_GAP_US: u64 = 1_000_000;
 
 impl Balancer {
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -161,7 +161,8 @@
         now.micros_since(request.started_at) as f64 >= objective_us * home_wait
     }
 
-    /// Decides about a request at one endpoint. `None`: the next endpoint is considered.
+    /// Decides whether to send a request to one endpoint, to check the endpoint first or to wait
+    /// for a check of it. `None`: the next endpoint is considered.
     fn evaluate(
         &self,
         context: &SelectionContext,
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -15,7 +15,8 @@
 
 /// Number of turns in a window.
 const TURNS_PER_WINDOW: u64 = 2;
-/// A sliding window overlaps one turn more, and the budget is what all of these together grant.
+/// A sliding window overlaps one turn more than it contains, and all of these together grant the
+/// budget.
 const TURNS_OVERLAPPING_WINDOW: u64 = TURNS_PER_WINDOW + 1;
 /// The grant for requests with a work hint, as a multiple of the longest mean running time of a
 /// class. It is the same for all of them: if it depended on the request, there would always be a
--- a/crates/decisions/src/policy/start_signals.rs
+++ b/crates/decisions/src/policy/start_signals.rs
@@ -1,8 +1,8 @@
 //! What the time until a request starts shows about its endpoint.
 //!
 //! Where endpoints report starts, such a report is only milliseconds old. A prompt start shows that
-//! other dispatchers left capacity free, and a late one that the endpoint has a queue; on load
-//! reports that are a second old alone, requests would continue to be sent into that queue.
+//! other dispatchers left capacity free, and a late one that the endpoint has a queue. Based on
+//! load reports that are a second old, requests would continue to be sent into that queue.
 
 use super::Balancer;
 use super::outcomes::REJECTION_BACKOFF;
@@ -84,8 +84,8 @@
     /// Backs off from an endpoint in whose queue an attempt was cancelled.
     ///
     /// An endpoint may report free slots that the request at the head of its queue does not fit
-    /// into. Otherwise each of many dispatchers would send it requests that wait behind that head,
-    /// cancel them, and keep no record of the queue.
+    /// into. Without the back-off, each of many dispatchers would send it requests that wait behind
+    /// that head, cancel them, and keep no record of the queue.
     pub(super) fn back_off_after_queue_cancellation(&mut self, now: Timestamp, id: EndpointId) {
         if !self.settings.reports_start || !self.is_large_polled_fleet() {
             return;
