--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -1,17 +1,18 @@
-//! When a request gets a second attempt beside its first, and which of the two is cancelled.
+//! When a request gets a second attempt while its first is in flight, and which of the two is
+//! cancelled.
 //!
-//! A request is hedged when its only attempt has not started promptly, is overdue, or is at an
-//! ejected endpoint: it would be lost with an endpoint that hangs, or wait in a queue that an old
-//! load report did not show while another endpoint is free. Once an attempt starts, the ones that
-//! have not are cancelled.
+//! A request is hedged when its only attempt in flight has not started promptly, is overdue, or is
+//! at an endpoint that is suspected or ejected. It would otherwise be lost with an endpoint that
+//! hangs, or wait in a queue that an old load report did not show while another endpoint is free.
+//! Once an attempt starts, the attempts that have not started are cancelled.
 
 use super::Balancer;
-use super::selection::EndpointQueue;
+use super::selection::EndpointQueueing;
 use crate::api::{Action, AttemptProgress, Progress, RequestId, Timestamp};
 use crate::state::{Attempt, Request};
 
 impl Balancer {
-    /// An attempt has reported its start, or how far it is.
+    /// Handles the progress of an attempt: its start, or the fraction that is done.
     pub(super) fn on_progress(
         &mut self,
         now: Timestamp,
@@ -24,9 +25,9 @@
             endpoint,
             progress,
         } = progress;
-        self.note_alive(now, endpoint);
+        self.mark_alive(now, endpoint);
         if progress == Progress::Started {
-            self.on_start(now, request, attempt_index, endpoint);
+            self.on_attempt_started(now, request, attempt_index, endpoint);
             self.cancel_other_attempts(request, attempt_index, actions);
         }
         self.state.note_progress(now, request, attempt_index);
@@ -49,17 +50,18 @@
         }
     }
 
-    /// Sends a second attempt of each request that needs one, where an endpoint would start it now.
+    /// Sends a second attempt of each request that needs one, if an endpoint would start it now.
     pub(super) fn hedge(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.settings.hedging {
             return;
         }
-        let moves_unstarted = self.settings.reports_start && self.settings.cancellation;
+        let can_move_unstarted = self.settings.reports_start && self.settings.cancellation;
         let mut open_requests = self.state.requests.values();
-        self.state.awaits_start = moves_unstarted
+        self.state.awaits_start = can_move_unstarted
             && open_requests.any(|request| request.attempts.iter().any(is_unstarted));
-        let needs_hedge =
-            |request: &Request| !request.is_done && self.needs_hedge(now, request, moves_unstarted);
+        let needs_hedge = |request: &Request| {
+            !request.is_done && self.needs_hedge(now, request, can_move_unstarted)
+        };
         let requests = self
             .state
             .requests
@@ -67,17 +69,19 @@
             .filter(|(_, request)| needs_hedge(request));
         let ids: Vec<RequestId> = requests.map(|(&id, _)| id).collect();
         for id in ids {
-            self.try_send(now, id, EndpointQueue::Avoided, actions);
+            self.try_send(now, id, EndpointQueueing::Avoided, actions);
         }
     }
 
-    fn needs_hedge(&self, now: Timestamp, request: &Request, moves_unstarted: bool) -> bool {
+    /// Whether a request has exactly one attempt in flight, and that attempt is late to start,
+    /// overdue, or at a suspected or ejected endpoint.
+    fn needs_hedge(&self, now: Timestamp, request: &Request, can_move_unstarted: bool) -> bool {
         let Some(attempt) = request.only_attempt_in_flight() else {
             return false;
         };
-        let prompt_start_by = self.prompt_by(attempt.sent_at);
-        let is_late = moves_unstarted && !attempt.has_started && now >= prompt_start_by;
-        is_late
+        let start_due_at = self.idle_response_due_at(attempt.sent_at);
+        let start_is_late = can_move_unstarted && !attempt.has_started && now >= start_due_at;
+        start_is_late
             || attempt.is_overdue
             || self
                 .state
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -1,48 +1,51 @@
-//! What a load report tells about an endpoint.
+//! How a load report updates the estimates for an endpoint.
 //!
-//! A report gives the slots and memory in use, by us and by others, and the throughput. What others
-//! use is kept for the endpoint as a moving average, and for its zone as a mean. A report as old as
-//! a request tells of little but the mean of the zone, so it counts the less, the longer the
-//! interval between reports is.
+//! A report gives the slots and memory in use, by this dispatcher and by others, and the
+//! throughput. What other dispatchers use is kept as a moving average for the endpoint, and as a
+//! mean for its zone. A report as old as a running request says little more than the mean of the
+//! zone, so its weight falls with the interval between reports.
 
 use super::Balancer;
 use crate::api::{EndpointId, LoadReport, Timestamp};
 use crate::math::{decay, ewma_weight};
 use crate::state::USAGE_TIME_CONSTANT_US;
 
-/// Mean running times after which a report says little of the present.
+/// Time constant, in mean running times, with which a report loses weight as the interval between
+/// reports grows.
 const REPORT_LIFETIME_RUNS: f64 = 3.0;
-/// Time constant of an endpoint's throughput, and the step of the mean one's.
+/// Time constant of the throughput of an endpoint.
 const THROUGHPUT_TIME_CONSTANT_US: f64 = 2_000_000.0;
-const FLEET_THROUGHPUT_STEP: f64 = 0.05;
-/// Step of the mean use of a zone's endpoints, and the largest use that counts, as a share of the
-/// slots.
-const REPORT_STEP: f64 = 0.05;
+/// EWMA weight of a report in the mean throughput of all endpoints.
+const FLEET_THROUGHPUT_EWMA_WEIGHT: f64 = 0.05;
+/// EWMA weight of a report in the mean usage of the endpoints of its zone.
+const ZONE_USAGE_EWMA_WEIGHT: f64 = 0.05;
+/// The largest usage by other dispatchers that counts in that mean, as a multiple of the slots.
 const MAX_ZONE_USAGE: f64 = 2.0;
 
-/// How far a report is believed.
+/// The weights with which a report updates the estimated usage by other dispatchers.
 #[derive(Clone, Copy)]
-struct Trust {
-    /// Weight of the report against the mean of the zone, from 0 to 1; `None`: the mean does not
-    /// count.
-    report: Option<f64>,
-    /// Weight of the new belief against the previous one, from 0 to 1.
-    step: f64,
+struct ReportWeights {
+    /// Weight of the report against the mean of the zone, from 0 to 1; `None`: the mean is not
+    /// used.
+    against_zone_mean: Option<f64>,
+    /// Weight of the result against the previous estimate, from 0 to 1.
+    against_estimate: f64,
 }
 
 impl Balancer {
-    pub(super) fn on_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
+    /// Updates the estimates for an endpoint, its kind and its zone from a load report.
+    pub(super) fn on_load_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
         let endpoint = self.state.endpoint(id);
         let kind = endpoint.kind;
         let elapsed_us = now.micros_since(endpoint.reported_at) as f64;
         let usage_weight = ewma_weight(elapsed_us, USAGE_TIME_CONSTANT_US);
-        let trust = self.trust_in_report(now, id, usage_weight);
+        let weights = self.report_weights(now, id, usage_weight);
         let learnt = self.state.learn_slots(kind, report.free_slots);
         self.learn_throughput(id, &report, elapsed_us);
-        self.note_report(now, id, report);
+        self.store_report(now, id, report);
         if let Some(free_slots) = report.free_slots {
             let busy_slots = self.busy_slots(&report, learnt.slots, free_slots);
-            self.learn_others_slots(now, id, learnt.slots, busy_slots, trust);
+            self.learn_others_slots(now, id, learnt.slots, busy_slots, weights);
         }
         if let Some(free_memory) = report.free_memory {
             let endpoint = self.state.endpoint_mut(id);
@@ -54,22 +57,25 @@
         }
     }
 
-    /// An old report shows capacity that others have taken since. Not where dispatchers outnumber
-    /// endpoints: there a request that takes a whole endpoint would never find one, and spare slots
-    /// make up for what has changed.
-    fn trust_in_report(&self, now: Timestamp, id: EndpointId, usage_weight: f64) -> Trust {
+    /// Returns how much a report counts.
+    ///
+    /// An old report shows capacity that other dispatchers have taken since, so it is averaged with
+    /// the mean of the zone. The mean is not used in slow start, nor in a large fleet where load
+    /// can be polled: there, a request that takes a whole endpoint would never find one, and spare
+    /// slots make up for what has changed.
+    fn report_weights(&self, now: Timestamp, id: EndpointId, usage_weight: f64) -> ReportWeights {
         let is_large_polled_fleet = self.is_large_polled_fleet();
         let in_slow_start = self
             .time_in_slow_start(now, self.state.endpoint(id))
             .is_some();
         let lifetime_us = REPORT_LIFETIME_RUNS * self.state.mean_run_us;
-        Trust {
-            report: if in_slow_start || is_large_polled_fleet {
+        ReportWeights {
+            against_zone_mean: if in_slow_start || is_large_polled_fleet {
                 None
             } else {
                 Some(decay(self.state.report_interval_us, lifetime_us))
             },
-            step: if is_large_polled_fleet {
+            against_estimate: if is_large_polled_fleet {
                 1.0
             } else {
                 usage_weight
@@ -88,13 +94,13 @@
                 .learn(rate, utilization, weight);
             self.state
                 .fleet_throughput
-                .learn(rate, utilization, FLEET_THROUGHPUT_STEP);
+                .learn(rate, utilization, FLEET_THROUGHPUT_EWMA_WEIGHT);
         }
     }
 
-    /// Keeps the report of the load; the throughput differs from report to report even where the
-    /// load was not refreshed.
-    fn note_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
+    /// Stores the load of a report without the throughput, which differs from report to report even
+    /// where the load was not refreshed.
+    fn store_report(&mut self, now: Timestamp, id: EndpointId, report: LoadReport) {
         let load = LoadReport {
             requests_per_second: None,
             cpu_utilization: None,
@@ -104,8 +110,8 @@
         state.endpoints[id.index()].note_report(now, load, &mut state.report_interval_us);
     }
 
-    /// Slots in use and queued for. Free slots stop at 0, so a long queue would look like an
-    /// endpoint about to be free.
+    /// Slots in use or needed by queued requests. Free slots are never reported as less than 0, so
+    /// by them alone an endpoint with a long queue would seem about to become free.
     fn busy_slots(&self, report: &LoadReport, slots: f64, free_slots: f64) -> f64 {
         let in_flight_slots = report
             .in_flight
@@ -113,13 +119,14 @@
         (slots - free_slots + report.queued.unwrap_or(0.0)).max(in_flight_slots)
     }
 
+    /// Updates the estimated usage by other dispatchers, of the endpoint and of its zone.
     fn learn_others_slots(
         &mut self,
         now: Timestamp,
         id: EndpointId,
         slots: f64,
         busy_slots: f64,
-        trust: Trust,
+        weights: ReportWeights,
     ) {
         let endpoint = &mut self.state.endpoints[id.index()];
         let zone = &mut self.state.zone_usage[endpoint.zone.0];
@@ -127,12 +134,12 @@
         zone.learn(
             now,
             (reported / slots.max(1.0)).min(MAX_ZONE_USAGE),
-            REPORT_STEP,
+            ZONE_USAGE_EWMA_WEIGHT,
         );
         let mean = zone.share * slots;
-        let believed = trust
-            .report
+        let estimate = weights
+            .against_zone_mean
             .map_or(reported, |weight| mean + weight * (reported - mean));
-        endpoint.others_slots += trust.step * (believed - endpoint.others_slots);
+        endpoint.others_slots += weights.against_estimate * (estimate - endpoint.others_slots);
     }
 }
