--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -29,7 +29,7 @@
             self.on_start(now, request, attempt_index, endpoint);
             self.cancel_other_attempts(request, attempt_index, actions);
         }
-        self.state.note_progress(now, request, attempt_index);
+        self.state.record_progress(now, request, attempt_index);
     }
 
     fn cancel_other_attempts(&self, id: RequestId, started: usize, actions: &mut Vec<Action>) {
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -101,7 +101,7 @@
             ..report
         };
         let state = &mut self.state;
-        state.endpoints[id.index()].note_report(now, load, &mut state.report_interval_us);
+        state.endpoints[id.index()].record_report(now, load, &mut state.report_interval_us);
     }
 
     /// Slots in use and queued for. Free slots stop at 0, so a long queue would look like an
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -84,6 +84,6 @@
                 }
             }
         }
-        self.state.forget_if_over(id);
+        self.state.remove_if_finished(id);
     }
 }
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -34,7 +34,7 @@
         } else {
             self.retry_or_give_up(now, id, actions);
         }
-        self.state.forget_if_over(id);
+        self.state.remove_if_finished(id);
         self.serve_queue(now, actions);
     }
 
--- a/crates/decisions/src/state/endpoint.rs
+++ b/crates/decisions/src/state/endpoint.rs
@@ -1,18 +1,19 @@
-//! What is known of one endpoint.
+//! Per-endpoint state: list data, load, health and slow start.
 
 use super::Throughput;
 use crate::api::{EndpointState, KindId, LoadReport, Timestamp, ZoneId};
 use crate::math::ewma_weight;
 
-/// Time constant of the mean use of an endpoint: shorter ones would follow the length of a single
-/// request.
+/// Time constant of the moving averages of an endpoint's used slots. With a shorter one, the
+/// averages would follow single requests.
 pub(crate) const USAGE_TIME_CONSTANT_US: f64 = 1_000_000.0;
-/// Steps by which the interval between two reports is learnt: when a report that repeats shows it
-/// to be longer, and when one that changes shows it to be shorter.
-const LONGER_INTERVAL_STEP: f64 = 0.5;
-const SHORTER_INTERVAL_STEP: f64 = 0.2;
+/// Weight of a new sample in the estimated interval between refreshed reports, where an unchanged
+/// report shows that the interval is longer than estimated.
+const LONGER_INTERVAL_WEIGHT: f64 = 0.5;
+/// The same where a changed report shows that the interval is shorter than estimated.
+const SHORTER_INTERVAL_WEIGHT: f64 = 0.2;
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     /// `None` before it is first listed.
@@ -24,70 +25,80 @@
     pub(crate) state: EndpointState,
     pub(crate) skips_slow_start: bool,
     pub(crate) max_concurrent: Option<u32>,
-    /// When its process last started, as the list says.
+    /// When its process last started, according to the list.
     pub(crate) listed_started_at: Timestamp,
-    /// The same, or later where it was seen to fail and recover.
+    /// The listed start, or the last failure before a recovery if that is later: the process may
+    /// have restarted since.
     pub(crate) started_at: Timestamp,
     /// Hash of its name alone.
     pub(crate) name_hash: u64,
-    /// Hash of its name and start, the same on every dispatcher.
+    /// Hash of its name and listed start, the same on every dispatcher.
     pub(crate) process_hash: u64,
 
-    /// Among [`BalancerState::monitored`](super::BalancerState::monitored).
+    /// Whether [`BalancerState::monitored`](super::BalancerState::monitored) contains it.
     pub(crate) is_monitored: bool,
 
-    /// What our own attempts in flight take of it.
+    /// Slots used by this dispatcher's attempts in flight.
     pub(crate) own_slots: f64,
+    /// Memory used by them, in slots' worth.
     pub(crate) own_memory: f64,
+    /// Number of these attempts.
     pub(crate) own_attempts: usize,
     /// Moving average of `own_slots`.
     pub(crate) own_slots_mean: f64,
     own_slots_mean_at: Timestamp,
-    /// When the attempts were sent that have not reported their start, where endpoints report it.
+    /// Send times of this dispatcher's attempts that have not reported their start; empty where
+    /// endpoints do not report starts.
     pub(crate) unstarted_sends: Vec<Timestamp>,
 
-    /// What other dispatchers are believed to take of it.
+    /// Estimated slots used by other dispatchers.
     pub(crate) others_slots: f64,
+    /// Estimated memory used by other dispatchers, in slots' worth.
     pub(crate) others_memory: f64,
-    /// Its last load report, and when it came; [`Timestamp::ORIGIN`]: none has come.
+    /// Its last load report.
     pub(crate) report: LoadReport,
+    /// When that report was received; [`Timestamp::ORIGIN`] before the first.
     pub(crate) reported_at: Timestamp,
     pub(crate) throughput: Throughput,
 
-    /// It gets no request until then, as it rejected one for lack of capacity.
+    /// It gets no request before this time, because it rejected one for lack of capacity or did not
+    /// start one.
     pub(crate) rejects_until: Timestamp,
-    /// Share of its responses that were errors, recent ones weighted most.
+    /// Exponentially weighted share of its responses that were errors.
     pub(crate) error_rate: f64,
-    /// Attempts in a row that were cancelled in its queue, although it seemed to have capacity.
+    /// Consecutive attempts that were cancelled in its queue although it appeared to have capacity.
     pub(crate) queue_cancellations: u32,
 
-    /// When it last said anything.
+    /// When it last sent a response, progress or the result of a health check.
     pub(crate) last_heard_at: Timestamp,
-    /// When an attempt of ours last made progress or ended there.
+    /// When one of this dispatcher's attempts last made progress or ended there.
     pub(crate) last_response_at: Timestamp,
     /// When a connection to it was last used.
     pub(crate) last_used_at: Timestamp,
 
-    /// It gets nothing until a health check, or progress of an attempt, brings it back. Ejected: it
-    /// is checked again from then on. Suspected, with no `ejections`: the time of the suspicion.
+    /// While this is set, the endpoint gets no request. For an ejected endpoint, the time at which
+    /// the ejection ends and the endpoint is health checked; for a suspected one (`ejections` is
+    /// 0), the time at which it was suspected. A successful health check, or progress or a response
+    /// of an attempt, clears it.
     pub(crate) ejected_until: Option<Timestamp>,
     /// Ejections since it last responded.
     pub(crate) ejections: u32,
     /// When a health check of it last failed.
     pub(crate) last_failure_at: Timestamp,
-    /// Back from ejection: one request at a time until it responds.
+    /// Its ejection has ended; it gets one request at a time until it responds.
     pub(crate) on_probation: bool,
     pub(crate) health_check_in_flight: bool,
+    /// When its last health check was sent.
     pub(crate) health_checked_at: Timestamp,
 
-    /// The slow-start turn in which we last sent to it, and the work sent in it, in
-    /// slot-microseconds.
+    /// The slow-start turn in which this dispatcher last sent to it.
     pub(crate) slow_start_turn: u64,
+    /// Work that this dispatcher sent in that turn, in slot-microseconds.
     pub(crate) slow_start_spent: f64,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing is known yet.
+    /// The state of an endpoint that was never listed.
     pub(super) fn new(now: Timestamp) -> Endpoint {
         Endpoint {
             own_slots_mean_at: now,
@@ -96,9 +107,9 @@
         }
     }
 
-    /// Its process has started anew: only our own attempts, connections and health checks are still
-    /// known.
-    pub(super) fn restart(&mut self, now: Timestamp) {
+    /// Resets the state after a restart of the endpoint's process. Keeps the name and what this
+    /// dispatcher tracks itself: its attempts, connections and health checks.
+    pub(super) fn reset_after_restart(&mut self, now: Timestamp) {
         let before = std::mem::replace(self, Endpoint::new(now));
         self.name = before.name;
         self.is_monitored = before.is_monitored;
@@ -111,9 +122,9 @@
         self.health_checked_at = before.health_checked_at;
     }
 
-    /// Takes in a load report, and from it how often reports change: one that repeats has not been
-    /// refreshed since.
-    pub(crate) fn note_report(
+    /// Records a load report and updates the estimated interval between refreshed reports. A report
+    /// equal to the previous one counts as not refreshed.
+    pub(crate) fn record_report(
         &mut self,
         now: Timestamp,
         report: LoadReport,
@@ -121,21 +132,21 @@
     ) {
         let since_last_us = now.micros_since(self.reported_at) as f64;
         if self.report == report && 2.0 * since_last_us > *interval_us {
-            *interval_us += LONGER_INTERVAL_STEP * (2.0 * since_last_us - *interval_us);
+            *interval_us += LONGER_INTERVAL_WEIGHT * (2.0 * since_last_us - *interval_us);
         } else if self.report != report && since_last_us < *interval_us {
-            *interval_us -= SHORTER_INTERVAL_STEP * (*interval_us - since_last_us);
+            *interval_us -= SHORTER_INTERVAL_WEIGHT * (*interval_us - since_last_us);
         }
         self.report = report;
         self.reported_at = now;
-        self.update_own_mean(now);
+        self.update_own_slots_mean(now);
     }
 
-    /// Accepts requests, as the list says.
+    /// Whether the list says that it accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// The work sent to it in a slow-start turn, in slot-microseconds.
+    /// Work that this dispatcher sent to it in a slow-start turn, in slot-microseconds.
     pub(crate) fn slow_start_spent_in(&self, turn: u64) -> f64 {
         if self.slow_start_turn == turn {
             self.slow_start_spent
@@ -144,25 +155,25 @@
         }
     }
 
-    /// An attempt is sent: reserves what it takes.
+    /// Reserves the slots and memory of an attempt that is being sent.
     pub(super) fn reserve(&mut self, now: Timestamp, slots: f64, memory: f64) {
-        self.update_own_mean(now);
+        self.update_own_slots_mean(now);
         self.own_slots += slots;
         self.own_memory += memory;
         self.own_attempts += 1;
         self.last_used_at = now;
     }
 
-    /// An attempt that was sent then no longer takes anything.
+    /// Releases the slots and memory of an attempt that was sent at `sent_at`.
     pub(crate) fn release(&mut self, now: Timestamp, sent_at: Timestamp, slots: f64, memory: f64) {
         self.unstarted_sends.retain(|&at| at != sent_at);
-        self.update_own_mean(now);
+        self.update_own_slots_mean(now);
         self.own_slots = (self.own_slots - slots).max(0.0);
         self.own_memory = (self.own_memory - memory).max(0.0);
         self.own_attempts = self.own_attempts.saturating_sub(1);
     }
 
-    fn update_own_mean(&mut self, now: Timestamp) {
+    fn update_own_slots_mean(&mut self, now: Timestamp) {
         let elapsed_us = now.micros_since(self.own_slots_mean_at) as f64;
         let weight = ewma_weight(elapsed_us, USAGE_TIME_CONSTANT_US);
         self.own_slots_mean += weight * (self.own_slots - self.own_slots_mean);
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The records that the decisions keep: plain data, counters and running means. No decision is
-//! taken here.
+//! The state of a balancer: plain data, counters and running means. The decisions based on it are
+//! made in the module `policy`.
 
 mod endpoint;
 mod estimates;
@@ -15,52 +15,56 @@
 };
 use crate::math::{fnv1a, hash_text};
 use crate::rules::Execution;
-use estimates::{ClassEstimate, LearntSlots, RequestRate, learn_slots};
+use estimates::{ClassEstimate, RequestRate, SlotsEstimate, learn_slots};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// First guess of the time between two requests.
+/// Initial estimate of the time between two requests.
 const INITIAL_REQUEST_GAP_US: f64 = 1_000_000.0;
-/// First guess of the time that a health check takes.
+/// Initial estimate of the time that a health check takes.
 const INITIAL_HEALTH_CHECK_US: f64 = 10_000.0;
-/// First guess of the share of its slots that other dispatchers use of an endpoint.
+/// Initial estimate of the share of an endpoint's slots that other dispatchers use.
 const INITIAL_ZONE_USAGE: f64 = 0.5;
 
-/// What a balancer remembers and has learnt.
+/// The state of a balancer.
 pub(crate) struct BalancerState {
-    /// By [`EndpointId`].
+    /// Indexed by [`EndpointId`].
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Every endpoint ever listed, in the order of names.
+    /// Every endpoint ever listed, ordered by name.
     pub(crate) by_name: Vec<EndpointId>,
-    /// Endpoints that each tick looks after: those with attempts of ours in flight, and ejected
-    /// ones.
+    /// Endpoints that are examined on each tick: those with attempts of this dispatcher in flight,
+    /// and ejected ones.
     pub(crate) monitored: Vec<EndpointId>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Requests that wait for an endpoint, the most valuable first once sorted.
+    /// Requests waiting for an endpoint; sorted by descending value when the queue is served.
     pub(crate) queue: Vec<RequestId>,
     /// For each tenant.
     pub(crate) tenant_rates: Vec<RequestRate>,
     pub(crate) last_request_at: Timestamp,
-    /// When the last idempotent request arrived; before the first, when the first list did.
+    /// When the last idempotent request arrived; before the first one, when the first endpoint list
+    /// was received.
     pub(crate) last_idempotent_at: Timestamp,
     /// When to subscribe to the endpoint list again.
     pub(crate) subscribe_at: Option<Timestamp>,
+    /// Consecutive failures of subscriptions.
     pub(crate) subscribe_failures: u32,
     /// When the timer fires.
     pub(crate) timer_at: Option<Timestamp>,
-    /// When the process last resumed after a stall: silence before that proves nothing.
+    /// When this process last resumed after a stall. Silence of an endpoint before that is not
+    /// evidence of a failure.
     pub(crate) resumed_at: Timestamp,
-    /// Connections idle for this long are not trusted; zero: any may be used.
+    /// Connections that were idle for this long are closed instead of reused; zero for no limit.
     pub(crate) idle_connection_limit: Duration,
+    /// When that limit expires.
     pub(crate) idle_connection_limit_until: Timestamp,
-    /// An attempt is in flight whose start is still to be reported.
+    /// An attempt is in flight that has not reported its start yet.
     pub(crate) awaits_start: bool,
     /// For each class.
     pub(crate) classes: Vec<ClassEstimate>,
-    /// Slots of an endpoint, for each kind; 0 where not known.
+    /// Estimated slots of an endpoint, for each machine kind; 0 if unknown.
     pub(crate) kind_slots: Vec<f64>,
-    /// Running time on each kind of endpoint as a multiple of the expected one; without time in
-    /// queue where starts are reported.
+    /// Ratio of actual to expected running time, for each machine kind. Excludes time in the
+    /// endpoint's queue where starts are reported.
     pub(crate) kind_run_ratio: Vec<f64>,
     /// Mean running time of a request, in microseconds.
     pub(crate) mean_run_us: f64,
@@ -70,23 +74,24 @@
     pub(crate) request_gap_us: f64,
     /// Mean time that a successful health check takes, in microseconds.
     pub(crate) health_check_us: f64,
-    /// Health checks that arrived requests have paid for.
+    /// Number of health checks that may be sent before requests; each arriving request adds to it.
     pub(crate) health_check_credit: f64,
-    /// Where the round of refreshing health checks stands in the first class's preference order.
+    /// Position of the periodic health checks in the preference order of the first class.
     pub(crate) refresh_cursor: usize,
-    /// Health checks saved up for that round, and up to when.
+    /// Number of periodic health checks that may be sent.
     pub(crate) refresh_credit: f64,
+    /// When that credit was last updated.
     pub(crate) refresh_credited_at: Option<Timestamp>,
     /// Mean time between two changes of an endpoint's load report, in microseconds.
     pub(crate) report_interval_us: f64,
-    /// What other dispatchers use of the mean endpoint, for each zone.
+    /// For each zone, the mean use of an endpoint by other dispatchers.
     pub(crate) zone_usage: Vec<ZoneUsage>,
-    /// Of the mean endpoint that reports it.
+    /// Mean throughput of the endpoints that report it.
     pub(crate) fleet_throughput: Throughput,
 }
 
 impl BalancerState {
-    /// A state that knows no endpoint yet, with this many health checks saved up.
+    /// A state without endpoints, with this initial credit for health checks.
     pub(crate) fn new(settings: &Settings, health_check_credit: f64) -> BalancerState {
         let classes: Vec<_> = settings.classes.iter().map(ClassEstimate::new).collect();
         let initial_usage = ZoneUsage {
@@ -135,15 +140,15 @@
         &mut self.endpoints[id.index()]
     }
 
-    /// Adds an endpoint to those that each tick looks after.
+    /// Adds an endpoint to the monitored ones.
     pub(crate) fn monitor(&mut self, id: EndpointId) {
         if !std::mem::replace(&mut self.endpoint_mut(id).is_monitored, true) {
             self.monitored.push(id);
         }
     }
 
-    /// Records an attempt that is sent. Returns how long the connections to its endpoint had been
-    /// idle; `None` for a request that is not known.
+    /// Records that an attempt is sent. Returns how long the connections to its endpoint had been
+    /// idle; `None` for an unknown request.
     pub(crate) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -165,8 +170,8 @@
         Some(idle)
     }
 
-    /// Records that an attempt, which has thereby started, was heard of.
-    pub(crate) fn note_progress(&mut self, now: Timestamp, id: RequestId, attempt_index: usize) {
+    /// Records progress of an attempt; the first progress also marks its start.
+    pub(crate) fn record_progress(&mut self, now: Timestamp, id: RequestId, attempt_index: usize) {
         let request = self.requests.get_mut(&id);
         if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(attempt_index)) {
             if !attempt.has_started {
@@ -177,9 +182,13 @@
         }
     }
 
-    /// Marks the attempts whose start is overdue by now, and returns the zone of each; an attempt
-    /// is returned once.
-    pub(crate) fn mark_missed_starts(&mut self, now: Timestamp, prompt: Duration) -> Vec<ZoneId> {
+    /// Marks the attempts that have not reported their start within `max_start_delay` of the send,
+    /// and returns their zones. Attempts that are already marked are left out.
+    pub(crate) fn mark_missed_starts(
+        &mut self,
+        now: Timestamp,
+        max_start_delay: Duration,
+    ) -> Vec<ZoneId> {
         let resumed_at = self.resumed_at;
         let mut zones = Vec::new();
         for attempt in self
@@ -189,7 +198,7 @@
         {
             let unstarted =
                 attempt.is_in_flight() && !attempt.has_started && !attempt.start_was_missed;
-            if unstarted && now > attempt.sent_at.max(resumed_at) + prompt {
+            if unstarted && now > attempt.sent_at.max(resumed_at) + max_start_delay {
                 attempt.start_was_missed = true;
                 zones.push(attempt.zone);
             }
@@ -197,8 +206,8 @@
         zones
     }
 
-    /// Drops a request that is done and has no attempt in flight.
-    pub(crate) fn forget_if_over(&mut self, id: RequestId) {
+    /// Removes a request that is done and has no attempt in flight.
+    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
         if self
             .requests
             .get(&id)
@@ -209,7 +218,7 @@
         }
     }
 
-    /// Takes in entries of the endpoint list.
+    /// Applies entries of the endpoint list. Endpoints that a whole list leaves out are gone.
     pub(crate) fn apply_list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Bootstrap) {
             for endpoint in &mut self.endpoints {
@@ -227,25 +236,25 @@
         }
     }
 
-    /// Returns whether the handle stands for another name from now on.
+    /// Returns whether the name of the handle changed.
     fn apply_entry(&mut self, now: Timestamp, entry: &EndpointEntry) -> bool {
         let index = entry.endpoint.index();
-        let row_count = self.endpoints.len().max(index + 1);
-        self.endpoints.resize_with(row_count, || Endpoint::new(now));
+        let len = self.endpoints.len().max(index + 1);
+        self.endpoints.resize_with(len, || Endpoint::new(now));
         let endpoint = &mut self.endpoints[index];
         let is_renamed = endpoint.name.as_deref() != Some(entry.name);
         if is_renamed {
             if endpoint.name.is_none() {
                 self.by_name.push(entry.endpoint);
             }
-            // It stays among the monitored ones until the next tick.
+            // The handle remains in `monitored` until the next tick removes it.
             let mut renamed = Endpoint::new(now);
             renamed.name = Some(entry.name.to_owned());
             renamed.is_monitored = endpoint.is_monitored;
             *endpoint = renamed;
         }
         if endpoint.listed_started_at != entry.started_at && entry.started_at > Timestamp::ORIGIN {
-            endpoint.restart(now);
+            endpoint.reset_after_restart(now);
         }
         endpoint.name_hash = hash_text(entry.name);
         endpoint.process_hash = fnv1a(entry.started_at.as_micros(), entry.name);
@@ -261,11 +270,11 @@
         is_renamed
     }
 
-    /// Learns the running time of a class from a request that was served.
+    /// Updates the running-time estimates from a request that was served.
     ///
-    /// Of the first requests the short ones end first. Where requests are queued for a time of
-    /// their class's own, a first guess far off would be believed for hundreds of requests, so the
-    /// first ones count together with those still in flight: total time over the number served.
+    /// Where the class has a maximum queue time, a wrong initial estimate would persist for
+    /// hundreds of requests. The first samples are therefore averaged with equal weight, and the
+    /// time of requests still in flight is added to the total, as short requests end first.
     pub(crate) fn learn_run(
         &mut self,
         now: Timestamp,
@@ -274,30 +283,33 @@
         has_max_queue_time: bool,
     ) {
         self.mean_run_us += LEARNING_RATE * (latency_us - self.mean_run_us);
-        self.classes[class].learn(latency_us);
+        self.classes[class].record_sample(latency_us);
         if !has_max_queue_time {
             return;
         }
-        if self.classes[class].is_early() {
-            let of_class = self
+        if self.classes[class].has_few_samples() {
+            let requests_of_class = self
                 .requests
                 .values()
                 .filter(|request| request.class.0 == class);
-            let in_flight_us: u64 = of_class.map(|request| request.time_in_flight_us(now)).sum();
-            self.classes[class].average_early(in_flight_us as f64);
+            let in_flight_us: u64 = requests_of_class
+                .map(|request| request.time_in_flight_us(now))
+                .sum();
+            self.classes[class].average_all_samples(in_flight_us as f64);
         }
-        if let Some(mean_run_us) = ClassEstimate::early_mean(&self.classes) {
+        if let Some(mean_run_us) = ClassEstimate::initial_mean_run_us(&self.classes) {
             self.mean_run_us = mean_run_us;
         }
     }
 
-    /// Learns the slots of a kind from a load report.
-    pub(crate) fn learn_slots(&mut self, kind: KindId, free_slots: Option<f64>) -> LearntSlots {
+    /// Updates the estimated slots of a kind from a load report.
+    pub(crate) fn learn_slots(&mut self, kind: KindId, free_slots: Option<f64>) -> SlotsEstimate {
         learn_slots(&mut self.kind_slots[kind.0], free_slots)
     }
 }
 
 impl Request {
+    /// Total time since the sends of its attempts in flight, in microseconds.
     fn time_in_flight_us(&self, now: Timestamp) -> u64 {
         let in_flight = self
             .attempts
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -1,27 +1,28 @@
-//! Requests that are open, and their attempts.
+//! Open requests and their attempts.
 
 use super::Endpoint;
 use crate::api::{ClassId, EndpointId, Timestamp, ZoneId};
 use crate::rules::{AttemptRecord, Execution};
 use std::time::Duration;
 
-/// A request until it is over: done, and with no attempt in flight.
+/// An open request; kept until it is done and has no attempt in flight.
 pub(crate) struct Request {
     pub(crate) class: ClassId,
-    /// When its client first sent it, as far as the remaining time tells.
+    /// When its client first sent it, as derived from the remaining time.
     pub(crate) started_at: Timestamp,
     pub(crate) deadline: Timestamp,
     pub(crate) slots: f64,
+    /// In slots' worth.
     pub(crate) memory: f64,
-    /// A hint of its work, as time on a standard core.
+    /// Expected work, as running time on a standard core.
     pub(crate) work_hint: Option<Duration>,
-    /// Value of a response within the objective, its tenant's quota taken into account.
+    /// The priority weight of its class, reduced where its tenant exceeds its quota.
     pub(crate) priority_weight: f64,
     pub(crate) affinity_key: Option<u64>,
     pub(crate) attempts: Vec<Attempt>,
-    /// It has its final response, or its client has gone.
+    /// It has its final response, or its client has disconnected.
     pub(crate) is_done: bool,
-    /// Health checks sent for it.
+    /// Number of health checks sent for it.
     pub(crate) health_checks: u32,
 }
 
@@ -45,18 +46,21 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
-    /// Zone and cell of the endpoint at the time of the send: they decide who recognises a repeat.
+    /// Zone of the endpoint at the time of the send. Zone and cell determine the deduplication
+    /// group, even if the endpoint is listed elsewhere later.
     pub(crate) zone: ZoneId,
+    /// Cell of the endpoint at the time of the send.
     cell: Option<u64>,
     pub(crate) sent_at: Timestamp,
     pub(crate) execution: Execution,
     pub(crate) has_started: bool,
     /// When it reported its start; before that, when it was sent.
     pub(crate) started_at: Timestamp,
+    /// When it last reported progress; before that, when it was sent.
     pub(crate) last_heard_at: Timestamp,
-    /// It was silent for so long that its slots were released.
+    /// Its slots were released because it reported no progress for too long.
     pub(crate) is_overdue: bool,
-    /// Its start was not reported when it should have been.
+    /// It did not report its start in time.
     pub(crate) start_was_missed: bool,
     /// How long the connections to its endpoint had been idle when it was sent.
     pub(crate) connection_idle: Duration,
@@ -88,7 +92,7 @@
         self.execution == Execution::InFlight
     }
 
-    /// What the rules look at.
+    /// The attempt as input for the rules.
     pub(crate) fn record(&self) -> AttemptRecord {
         AttemptRecord {
             endpoint: self.endpoint,
