--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -1,43 +1,42 @@
-//! What the balancer wants done.
+//! Actions that the balancer requests from its host.
 
 use super::{EndpointId, RequestId};
 use std::time::Duration;
 
-/// What the balancer wants done. The host carries actions out in the order in which they are
-/// returned.
+/// An action for the host. The host carries out actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send a request to an endpoint, as a new attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where it goes.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Give the attempt up after this time; `None`: when the client gives up, as in all sends
-        /// so far.
+        /// Timeout of the attempt; `None`: the deadline of the request. The balancer currently
+        /// always sets `None`.
         timeout: Option<Duration>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of the sends.
         attempt_index: usize,
     },
-    /// Final response: shed without effect, so a retry is harmless.
+    /// Final response: the request is shed. It had no effect, or a repeat of it is harmless.
     Shed {
         /// The request.
         request: RequestId,
         /// How long the client should back off.
         retry_after: Option<Duration>,
     },
-    /// Final response: failed, and the request may have run.
+    /// Final response: the request failed and may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Check an endpoint's health; an [`Event::HealthChecked`](super::Event::HealthChecked)
-    /// answers.
+    /// Send a health check to an endpoint; its result is an
+    /// [`Event::HealthChecked`](super::Event::HealthChecked).
     CheckHealth {
         /// The endpoint.
         endpoint: EndpointId,
@@ -47,15 +46,15 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to changes of the endpoint list; an
-    /// [`Event::EndpointList`](super::Event::EndpointList) answers.
+    /// Subscribe to changes of the endpoint list; the result is an
+    /// [`Event::EndpointList`](super::Event::EndpointList).
     Subscribe,
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after this time; replaces any earlier
+    /// Pass [`Event::TimerFired`](super::Event::TimerFired) after this time; replaces any earlier
     /// timer.
     SetTimer {
-        /// From now.
+        /// Time from now.
         after: Duration,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/decisions/src/api/class.rs
+++ b/crates/decisions/src/api/class.rs
@@ -1,17 +1,17 @@
-//! Classes of request and the tenants that send them.
+//! Request classes and tenants.
 
 use super::{KindId, ZoneId};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// A tenant that shares the endpoints with others.
+/// A tenant: a group of clients with a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all dispatchers together.
+    /// Quota in requests per second, over all dispatchers together.
     pub quota_per_second: f64,
 }
 
-/// The endpoints that recognise and drop a repeat of a request with an idempotency key.
+/// The endpoints that detect and drop a repeat of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeduplicationScope {
@@ -23,7 +23,7 @@
     Cell,
 }
 
-/// What running a request of a class twice may do.
+/// The effect of running a request of a class more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// A repeat is harmless.
@@ -33,36 +33,36 @@
     Keyed {
         /// The endpoints that drop a repeat.
         scope: DeduplicationScope,
-        /// How long they remember the key.
+        /// How long they store the key.
         window: Duration,
     },
-    /// A request must never run twice.
+    /// A request must not run twice.
     NonIdempotent,
 }
 
-/// A class of request: its value, its objective and its constraints.
+/// A class of requests with the same value, objectives and constraints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// What a repeat may do.
+    /// The effect of a repeat.
     pub idempotency: Idempotency,
     /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// A response within this time, plus `objective_stretch` times the request's own work, meets
-    /// the objective.
+    /// The latency objective: a response within this time, plus `objective_stretch` times the
+    /// request's own work, meets it.
     pub latency_objective: Duration,
-    /// The share of the request's own work by which the objective grows.
+    /// Multiple of the request's own work that is added to the latency objective.
     pub objective_stretch: f64,
     /// How long a client waits for its response, over all its attempts.
     pub deadline: Duration,
-    /// Endpoints that order their queue by priority start the highest first; 0 for all where they
-    /// do not.
+    /// Priority in the queue of an endpoint; the highest starts first. 0 for all classes if
+    /// endpoints do not order their queues by priority.
     pub queue_priority: u32,
-    /// How long a request may be queued here; `None`: for as long as it is believed to meet its
-    /// objective.
+    /// How long a request may be queued by the dispatcher; `None`: as long as it is expected to
+    /// meet its objective.
     pub max_queue_time: Option<Duration>,
-    /// The only zones that may serve the class; `None`: any. An empty list allows none.
+    /// The zones that may serve the class; `None` for all. An empty list allows none.
     pub allowed_zones: Option<Vec<ZoneId>>,
-    /// The only machine kinds that may serve the class; `None`: any. An empty list allows none.
+    /// The machine kinds that may serve the class; `None` for all. An empty list allows none.
     pub allowed_kinds: Option<Vec<KindId>>,
 }
 
--- a/crates/decisions/src/api/endpoint.rs
+++ b/crates/decisions/src/api/endpoint.rs
@@ -1,48 +1,48 @@
-//! Endpoints as service discovery lists them.
+//! The endpoint list.
 
 use super::{EndpointId, KindId, Timestamp, ZoneId};
 
-/// State of an endpoint on the list.
+/// State of an endpoint according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// Accepts requests.
     Ready,
-    /// Listed, but no source has confirmed that the list is current: nothing new is sent there.
+    /// Listed, but no source has confirmed that the list is current. Gets no new request.
     Unconfirmed,
-    /// Finishes what it has; nothing new is sent there.
+    /// Completes its requests in flight. Gets no new request.
     Draining,
     /// Removed.
     #[default]
     Gone,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry<'a> {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its name: list order only.
+    /// Its name; determines its place in the preference order and its hashes.
     pub name: &'a str,
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: KindId,
-    /// Its cell: the endpoints that share what they know of idempotency keys.
+    /// Its cell: a group of endpoints that share their idempotency keys.
     pub cell: Option<u64>,
     /// Its state.
     pub state: EndpointState,
-    /// When its process last started; [`Timestamp::ORIGIN`] for long ago.
+    /// When its process last started; [`Timestamp::ORIGIN`] if it is unknown or long ago.
     pub started_at: Timestamp,
-    /// Its size beside other endpoints, without a unit; 0 where it is not known.
+    /// Its size relative to other endpoints, without a unit; 0 if it is unknown.
     pub relative_size: f64,
-    /// It has all its capacity from its start on, and needs no slow start.
+    /// It has its full capacity from the start and needs no slow start.
     pub skips_slow_start: bool,
-    /// Requests of any size that it takes at a time, rejecting further ones; `None`: it queues
-    /// them.
+    /// Concurrency limit in requests of any size, above which it rejects requests; `None`: it
+    /// queues them.
     pub max_concurrent: Option<u32>,
 }
 
-/// What the entries of an endpoint list stand for.
+/// The meaning of the entries in an [`Event::EndpointList`](super::Event::EndpointList).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// The entries that changed.
@@ -51,6 +51,6 @@
     Snapshot,
     /// The whole list as it was before a restart; may be out of date.
     Bootstrap,
-    /// No entries: a poll failed or the subscription broke, and the previous list stands.
+    /// No entries: a poll failed or the subscription broke. The previous list remains in use.
     SourceLost,
 }
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the host tells the balancer.
+//! Events that the host passes to the balancer.
 
 use super::{
     ClassId, EndpointEntry, EndpointId, ListKind, LoadReport, Outcome, RequestId, TenantId,
@@ -8,22 +8,22 @@
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its handle, new.
+    /// Its handle, not used before.
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Time until its client gives up.
     pub remaining: Duration,
-    /// Slots that it takes.
+    /// Slots that it uses at an endpoint.
     pub slots: f64,
-    /// Memory that it takes, in slots' worth: an endpoint has as much memory as it has slots.
+    /// Memory that it uses, in slots' worth: an endpoint has as much memory as slots.
     pub memory: f64,
-    /// A hint of its work, as time on a standard core.
+    /// Expected work, as running time on a standard core.
     pub work_hint: Option<Duration>,
-    /// Its tenant; `None` where there are no tenants, or for a client that belongs to none of them.
+    /// Its tenant; `None` if there are no tenants or its client belongs to none of them.
     pub tenant: Option<TenantId>,
-    /// A hash of what it is about, where that is known: an endpoint that has just served the same
-    /// is faster.
+    /// Hash of the data that it needs, if known. An endpoint that has recently served a request
+    /// with the same key is faster.
     pub affinity_key: Option<u64>,
 }
 
@@ -40,18 +40,18 @@
     pub outcome: Outcome,
     /// Time since the send.
     pub latency: Duration,
-    /// The request has its final response, by this attempt or before it.
+    /// The request has its final response, from this attempt or an earlier one.
     pub request_done: bool,
-    /// The load report that came along.
+    /// The load report in the response, if any.
     pub report: Option<LoadReport>,
 }
 
-/// What a running request reports.
+/// Progress of a request at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
     /// It has started.
     Started,
-    /// This fraction of it is done.
+    /// Completed fraction, from 0 to 1.
     Fraction(f64),
 }
 
@@ -64,7 +64,7 @@
     pub attempt_index: usize,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// What it reports.
+    /// The reported progress.
     pub progress: Progress,
 }
 
@@ -77,37 +77,37 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub latency: Duration,
-    /// The load report that came along.
+    /// The load report in the response, if any.
     pub report: Option<LoadReport>,
 }
 
-/// What the host tells the balancer.
+/// An event that the host passes to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
     /// The endpoint list, or a change to it. The first event of a new instance is its list.
     EndpointList {
-        /// What the entries stand for.
+        /// The meaning of the entries.
         kind: ListKind,
         /// The entries.
         entries: &'a [EndpointEntry<'a>],
     },
-    /// A request has arrived; one final response is owed for it.
+    /// A request has arrived and needs exactly one final response.
     RequestArrived(IncomingRequest),
-    /// An attempt has ended; each send gets exactly one of these.
+    /// An attempt has ended. Each send results in exactly one such event.
     AttemptEnded(AttemptResult),
     /// An attempt in flight has made progress.
     AttemptProgressed(AttemptProgress),
-    /// The client has disconnected; nothing is owed any more.
+    /// The client has disconnected; the request needs no response any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A request has no final response and its time is over: one is owed at once.
+    /// The deadline of a request without a final response has passed; it needs one at once.
     DeadlineReached {
         /// The request.
         request: RequestId,
     },
-    /// A health check has ended; each gets exactly one of these.
+    /// A health check has ended. Each health check results in exactly one such event.
     HealthChecked(HealthCheckResult),
     /// The timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
     TimerFired,
--- a/crates/decisions/src/api/ids.rs
+++ b/crates/decisions/src/api/ids.rs
@@ -1,19 +1,20 @@
-//! Handles and indices.
+//! Handles of requests and endpoints, and indices into the settings.
 
-/// Handle of a request, chosen by the host; never used twice for one [`Balancer`](crate::Balancer).
+/// Handle of a request, chosen by the host; never reused for the same
+/// [`Balancer`](crate::Balancer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Handle of an endpoint, chosen by the host: small, dense from 0, and the same for as long as the
-/// endpoint keeps its name.
+/// Handle of an endpoint, chosen by the host. Handles are small integers, dense from 0, and stay
+/// the same as long as the endpoint keeps its name.
 ///
-/// Once an endpoint is gone, no health check of it is in flight and no open request was sent to it,
-/// the host may give its handle to another name.
+/// The host may reuse a handle for another name once the endpoint is gone, no health check of it is
+/// in flight, and no open request has an attempt there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
 impl EndpointId {
-    /// The handle as an index into a table with a row for each endpoint.
+    /// The handle as an index into a per-endpoint table.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
--- a/crates/decisions/src/api/mod.rs
+++ b/crates/decisions/src/api/mod.rs
@@ -1,11 +1,10 @@
-//! The interface of the decisions: settings, events and actions.
+//! The interface between the balancer and its host: settings, events and actions.
 //!
-//! The host hands out integer handles for requests and endpoints; classes, zones and machine kinds
-//! are indices into the [`Settings`]. No decision can therefore depend on what anything is called.
-//! The name of an endpoint serves list order only.
+//! The host assigns integer handles to requests and endpoints; classes, zones and machine kinds are
+//! indices into the [`Settings`]. Decisions therefore do not depend on names, except that the
+//! names of endpoints determine the preference order and hashes that all dispatchers share.
 //!
-//! All times are points on the host's own clock ([`Timestamp`]), which starts anywhere and only
-//! advances.
+//! All times are points on the host's monotonic clock ([`Timestamp`]), whose origin is arbitrary.
 
 mod action;
 mod class;
--- a/crates/decisions/src/api/report.rs
+++ b/crates/decisions/src/api/report.rs
@@ -1,9 +1,9 @@
-//! What an endpoint tells about itself: load reports and outcomes.
+//! Load reports of endpoints, and outcomes of attempts and health checks.
 
-/// A load report; values that the deployment does not report are `None`.
+/// A load report. Values that the deployment does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests at the endpoint, queued ones included.
+    /// Requests at the endpoint, including queued ones.
     pub in_flight: Option<f64>,
     /// Requests queued at the endpoint.
     pub queued: Option<f64>,
@@ -11,9 +11,9 @@
     pub free_slots: Option<f64>,
     /// Free memory, in slots' worth.
     pub free_memory: Option<f64>,
-    /// Requests that it completes per second.
+    /// Completed requests per second.
     pub requests_per_second: Option<f64>,
-    /// CPU utilization: 0 to about 1.
+    /// CPU utilization, from 0 to about 1.
     pub cpu_utilization: Option<f64>,
 }
 
@@ -24,17 +24,17 @@
     Success,
     /// The endpoint responded with an error; the request may have run.
     Error,
-    /// Rejected unread for lack of capacity; it has not run.
+    /// Rejected for lack of capacity, without being read; it has not run.
     Rejected,
     /// No response in time; it may have run or may still be running.
     Timeout,
-    /// No connection; it has not run.
+    /// The connection could not be established; it has not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; it may have run.
     Reset,
     /// Cancelled by the dispatcher; it may have run.
     Cancelled,
-    /// Never sent, for a reason that says nothing about the endpoint.
+    /// Not sent, for a reason unrelated to the endpoint; it has not run.
     NotSent,
 }
 
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -1,32 +1,32 @@
-//! What the deployment tells a balancer at its start.
+//! The settings of a balancer.
 
 use super::{Class, Tenant, ZoneId};
 use std::time::Duration;
 
-/// Prices that the decisions weigh, as shares of the mean priority weight of a request.
+/// Costs of operations, as shares of the mean priority weight of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For sending one request across zones.
+    /// Sending one request across zones.
     pub cross_zone: f64,
-    /// For one health check per request. The decisions do not weigh it yet.
+    /// One health check per request. The decisions do not use it yet.
     pub health_check: f64,
 }
 
-/// Where load reports come from.
+/// Which messages carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// From responses and from health checks.
+    /// Responses to requests and to health checks.
     Responses,
-    /// From health checks only.
+    /// Responses to health checks only.
     HealthChecks,
-    /// From nowhere.
+    /// None: there are no load reports.
     None,
 }
 
 /// The settings of one dispatcher. They do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This dispatcher's number among `instance_count`, from 0.
+    /// Index of this dispatcher, below `instance_count`.
     pub instance_index: usize,
     /// Number of dispatchers.
     pub instance_count: usize,
@@ -36,23 +36,23 @@
     pub home_zone: Option<ZoneId>,
     /// Number of machine kinds.
     pub kind_count: usize,
-    /// The classes of request.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// The tenants that share the endpoints; empty where there are none.
+    /// The tenants; empty if requests are not assigned to tenants.
     pub tenants: Vec<Tenant>,
-    /// What a request beyond its tenant's quota is worth, as a share (0 to 1) of its class's
+    /// Priority weight of a request over its tenant's quota, as a share (0 to 1) of its class's
     /// priority weight.
     pub over_quota_weight: f64,
-    /// Prices.
+    /// Costs of operations.
     pub prices: Prices,
-    /// Where load reports come from.
+    /// Which messages carry load reports.
     pub load_reports: LoadReportSource,
-    /// The endpoint list has to be polled; otherwise changes are pushed.
+    /// The dispatcher has to poll the endpoint list; otherwise changes are pushed to it.
     pub polls_discovery: bool,
     /// A dispatcher that has not polled for this long counts as notified of every change.
     pub max_poll_interval: Duration,
-    /// Nothing new is sent to an endpoint later than this after the dispatcher was notified that it
-    /// drains or is gone.
+    /// How long after a notification that an endpoint is draining or gone the dispatcher may still
+    /// send something new to it.
     pub drain_grace: Duration,
     /// Health checks are allowed.
     pub health_checks: bool,
@@ -60,45 +60,42 @@
     pub cancellation: bool,
     /// A request may have two attempts in flight at once.
     pub hedging: bool,
-    /// Clients are told how long to back off.
+    /// Overload responses tell clients how long to back off.
     pub retry_after: bool,
-    /// The longest back-off that clients heed.
+    /// The longest back-off that clients honour.
     pub max_retry_after: Duration,
-    /// Attempts that one request may have.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// A connection that is not up within this time has failed, so an attempt may arrive this long
-    /// after it was decided.
+    /// Connect timeout. An attempt may reach its endpoint this long after it was sent.
     pub connect_timeout: Duration,
-    /// A connection idle for this long is closed; zero where that is not known. For hosts; the
+    /// Connections that are idle for this long are closed; zero if unknown. For hosts; the
     /// decisions do not use it.
     pub connection_idle_timeout: Duration,
     /// The shortest time between two calls of the balancer.
     pub timer_resolution: Duration,
-    /// Endpoints tell when a request starts.
+    /// Endpoints report when a request starts.
     pub reports_start: bool,
     /// Interval between progress messages of a running request; zero for none.
     pub progress_interval: Duration,
-    /// Share of its capacity that a restarted endpoint has at once; slow start leads from there to
-    /// 1.
+    /// Share of its capacity that an endpoint has at the beginning of slow start; it grows to 1.
     pub slow_start_share: f64,
-    /// How long slow start takes.
+    /// Duration of slow start.
     pub slow_start_duration: Duration,
-    /// An endpoint in slow start fails when it is sent more than this multiple of its present
-    /// capacity ...
+    /// An endpoint in slow start fails if it is sent more than this multiple of its present
+    /// capacity within `overload_window`; 0 if it does not fail.
     pub overload_multiple: f64,
-    /// ... within a window of this length.
+    /// Window over which `overload_multiple` is measured.
     pub overload_window: Duration,
-    /// Requests that may be queued here at once; one more sheds the least valuable of them. 0: no
-    /// bound here.
+    /// Maximum number of queued requests; a further one sheds the least valuable. 0 for no limit.
     pub max_queued: usize,
 }
 
 impl Settings {
-    /// Checks that the settings can work at all.
+    /// Checks the settings for values with which a balancer cannot work.
     ///
     /// # Errors
     ///
-    /// Names the first setting that cannot.
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -130,27 +127,27 @@
     }
 }
 
-/// Settings that cannot work.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There is nothing to dispatch.
-    #[error("the settings name no class of request")]
+    /// There is no request class.
+    #[error("the settings define no request class")]
     NoClasses,
     /// No request could ever be sent.
-    #[error("the settings allow no attempt for a request")]
+    #[error("the maximum number of attempts of a request is 0")]
     NoAttempts,
-    /// An index points outside its table.
+    /// An index is out of range.
     #[error("{what} {index} is out of range: there are {count}")]
     OutOfRange {
-        /// What the index names.
+        /// What the index refers to.
         what: &'static str,
         /// The index.
         index: usize,
-        /// The size of its table.
+        /// The number of valid indices.
         count: usize,
     },
-    /// A value that makes no sense.
+    /// A setting has an unusable value.
     #[error("{0} is not usable")]
     InvalidValue(&'static str),
 }
