--- a/crates/decisions/src/settings/convert.rs
+++ b/crates/decisions/src/settings/convert.rs
@@ -1,4 +1,4 @@
-//! The settings document in the terms of the decisions.
+//! Conversion of the settings document to the settings of a balancer.
 
 use super::{
     ClassSettings, DeploymentSettings, DiscoveryMode, QueueOrder, RepeatSemantics, ReportDelivery,
@@ -10,29 +10,30 @@
 };
 use std::time::Duration;
 
-/// Where the settings name no time, a connection comes up within this one.
+/// Connect timeout where the settings specify none.
 const DEFAULT_CONNECT_TIMEOUT_US: u64 = 1_000_000;
 
-/// Settings that name something that does not exist, or that cannot work.
+/// An error in a settings document.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DeploymentSettingsError {
-    /// `my-zone` is none of `zones`.
+    /// `my-zone` is not one of `zones`.
     #[error("my-zone: unknown zone {0}")]
     UnknownZone(String),
-    /// The decisions cannot work with them.
+    /// A setting that a balancer does not accept.
     #[error(transparent)]
     Invalid(#[from] SettingsError),
 }
 
-/// Indices of the names that the settings know; an unknown name allows nothing and is no error.
+/// The indices of these names. Unknown names are skipped: in a list of allowed zones or kinds, they
+/// allow nothing.
 fn known_indices<'a>(names: &'a [String], known: &'a [String]) -> impl Iterator<Item = usize> + 'a {
     names.iter().filter_map(|name| index_of(known, name))
 }
 
 impl DeploymentSettings {
-    /// A connection to an endpoint that is not up within this time has failed. Both those who open
-    /// connections and those who decide what may still be sent ask here.
+    /// The connect timeout for endpoints. Hosts that open connections and the decisions on whether
+    /// an attempt can still arrive in time have to use the same value.
     pub fn connect_timeout(&self) -> Duration {
         let or_default = |micros| {
             if micros == 0 {
@@ -42,17 +43,17 @@
             }
         };
         let configured = or_default(self.limits.connect_timeout_us);
-        // An attempt must not wait for its connection until the grace of an endpoint that drains
-        // meanwhile is over.
+        // The endpoint may start to drain while an attempt waits for its connection. The attempt
+        // must not be written after the drain grace.
         let within_grace = or_default(self.rules.drain_grace_us / 2);
         Duration::from_micros(configured.min(within_grace))
     }
 
-    /// The settings of the decisions, checked.
+    /// Converts the document to the settings of a balancer and validates them.
     ///
     /// # Errors
     ///
-    /// An unknown home zone, or settings that cannot work.
+    /// An unknown home zone, or an invalid setting; see [`Settings::validate`].
     pub fn to_settings(&self) -> Result<Settings, DeploymentSettingsError> {
         let settings = Settings {
             instance_index: self.instance_index,
@@ -64,7 +65,7 @@
                 .classes
                 .iter()
                 .enumerate()
-                .map(|(index, class)| self.class_settings(index, class))
+                .map(|(index, class)| self.to_class(index, class))
                 .collect(),
             tenants: self
                 .tenants
@@ -117,7 +118,7 @@
         Ok(Some(zone))
     }
 
-    fn class_settings(&self, index: usize, class: &ClassSettings) -> Class {
+    fn to_class(&self, index: usize, class: &ClassSettings) -> Class {
         let service = &self.service;
         let service_stretch = service.objective_stretch.get(index).copied();
         let allowed_zones = class.allowed_zones.as_ref();
@@ -145,11 +146,15 @@
         }
     }
 
-    /// The kinds that may serve a class: those that the class names, and the one that the service
-    /// binds it to.
-    fn allowed_kinds(&self, class: &ClassSettings, bound: Option<i64>) -> Option<Vec<KindId>> {
-        let bound = bound.and_then(|kind| usize::try_from(kind).ok());
-        let allowed: Vec<usize> = match (&class.allowed_kinds, bound) {
+    /// The kinds that may serve a class: the allowed kinds of the class, restricted to
+    /// `service_kind` if the service prescribes one; `None` if neither is set.
+    fn allowed_kinds(
+        &self,
+        class: &ClassSettings,
+        service_kind: Option<i64>,
+    ) -> Option<Vec<KindId>> {
+        let service_kind = service_kind.and_then(|kind| usize::try_from(kind).ok());
+        let allowed: Vec<usize> = match (&class.allowed_kinds, service_kind) {
             (None, None) => return None,
             (Some(names), None) => known_indices(names, &self.kinds).collect(),
             (None, Some(kind)) => vec![kind],
@@ -172,7 +177,8 @@
         RepeatSemantics::Idempotent => Idempotency::Idempotent,
         RepeatSemantics::NonIdempotent => Idempotency::NonIdempotent,
         RepeatSemantics::Keyed => Idempotency::Keyed {
-            // Without a word on the scope, the narrowest one is the safe reading.
+            // A scope that is too narrow forbids some safe retries; one that is too wide would let
+            // a request run twice.
             scope: class
                 .deduplication_scope
                 .unwrap_or(DeduplicationScope::Cell),
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -1,8 +1,9 @@
 //! The settings document of a deployment: the first message of the simulator, and part of a
 //! dispatcher's configuration.
 //!
-//! Its keys are those of the deployment's pages; here they get the terms of the decisions, once.
-//! [`DeploymentSettings::to_settings`] converts and checks the document.
+//! The deployment defines the keys of the document, so many fields are read under another name than
+//! their own. [`DeploymentSettings::to_settings`] converts the document to
+//! [`Settings`](crate::api::Settings) and validates it.
 
 mod convert;
 
@@ -11,11 +12,11 @@
 use crate::api::{DeduplicationScope, KindId, LoadReport, TenantId, ZoneId};
 use serde::Deserialize;
 
-/// The document as written. Unknown keys are skipped.
+/// The document as written. Unknown keys are ignored.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct DeploymentSettings {
-    /// This dispatcher's number, from 0.
+    /// Index of this dispatcher, from 0.
     #[serde(default, rename = "me")]
     pub instance_index: usize,
     /// Number of dispatchers.
@@ -30,24 +31,24 @@
     /// Names of the machine kinds.
     #[serde(default)]
     pub kinds: Vec<String>,
-    /// The classes of request.
+    /// The request classes.
     #[serde(rename = "lanes")]
     pub classes: Vec<ClassSettings>,
-    /// How changes of the endpoint list come.
+    /// How the dispatcher receives changes of the endpoint list.
     #[serde(default)]
     pub discovery: DiscoveryMode,
-    /// Traits of the service behind the endpoints.
+    /// Properties of the service behind the endpoints.
     #[serde(default, rename = "family-info")]
     pub service: ServiceTraits,
-    /// What the deployment permits.
+    /// Limits and permitted operations.
     pub limits: Limits,
-    /// Prices.
+    /// Costs of operations.
     #[serde(default)]
     pub prices: PriceSettings,
     /// Load reports.
     #[serde(default, rename = "report")]
     pub load_reports: LoadReportSettings,
-    /// The rules of the service in figures.
+    /// Parameters of the rules of the service.
     pub rules: RuleSettings,
     /// The shortest time between two calls of the balancer, in microseconds.
     #[serde(default, rename = "resolution-us")]
@@ -55,10 +56,10 @@
     /// The tenants.
     #[serde(default)]
     pub tenants: Vec<TenantSettings>,
-    /// What a request beyond its tenant's quota is worth, as a share of its class's weight.
+    /// Priority weight of a request over its tenant's quota, as a share of its class's weight.
     #[serde(default = "all", rename = "over-share-worth")]
     pub over_quota_weight: f64,
-    /// What the weight of an endpoint on the list means.
+    /// The meaning of the weight that the list gives an endpoint.
     #[serde(default, rename = "weights")]
     pub weight_meaning: WeightMeaning,
 }
@@ -69,27 +70,27 @@
 pub struct TenantSettings {
     /// Its name.
     pub name: String,
-    /// Requests per second within its quota.
+    /// Quota in requests per second.
     #[serde(default, rename = "quota-per-s")]
     pub quota_per_second: f64,
 }
 
-/// What the weight of an endpoint on the list means.
+/// The meaning of the weight that the list gives an endpoint.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum WeightMeaning {
-    /// Nothing.
+    /// None.
     #[default]
     None,
-    /// Its size.
+    /// The endpoint's size.
     Nominal,
-    /// Its size, roughly.
+    /// The endpoint's approximate size.
     Rough,
-    /// Its size less its load, from one list to the next.
+    /// The endpoint's size less its load; changes with every list.
     Live,
 }
 
-/// How changes of the endpoint list come.
+/// How the dispatcher receives changes of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryMode {
@@ -102,7 +103,7 @@
     Polled,
 }
 
-/// A class of request.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ClassSettings {
@@ -111,124 +112,124 @@
     /// Latency objective, in microseconds.
     #[serde(rename = "aim-us")]
     pub latency_objective_us: u64,
-    /// The share of a request's own work by which its objective grows.
+    /// Multiple of a request's own work that is added to its objective.
     #[serde(rename = "aim-stretch")]
     pub objective_stretch: Option<f64>,
     /// How long a client waits, in microseconds.
     pub deadline_us: u64,
-    /// How long a request may be queued, in microseconds. Not a key of the pages: the site file
-    /// sets it.
+    /// How long a request may be queued, in microseconds. Set from the site file; deployments do
+    /// not define it.
     #[serde(rename = "wait-us")]
     pub max_queue_time_us: Option<u64>,
     /// Priority weight.
     #[serde(rename = "points")]
     pub priority_weight: f64,
-    /// What a repeat does.
+    /// The effect of a repeat.
     #[serde(rename = "semantics")]
     pub repeats: RepeatSemantics,
-    /// Who drops a repeat; without it the narrowest scope holds.
+    /// The endpoints that drop a repeat; the narrowest scope if not set.
     #[serde(rename = "dedup-scope")]
     pub deduplication_scope: Option<DeduplicationScope>,
-    /// The only zones that may serve the class.
+    /// Names of the zones that may serve the class; all if not set.
     #[serde(rename = "zones-only")]
     pub allowed_zones: Option<Vec<String>>,
-    /// The only machine kinds that may serve the class.
+    /// Names of the machine kinds that may serve the class; all if not set.
     #[serde(rename = "kinds-open")]
     pub allowed_kinds: Option<Vec<String>>,
-    /// How long endpoints remember an idempotency key, in microseconds.
+    /// How long endpoints store an idempotency key, in microseconds.
     #[serde(default, rename = "window-us")]
     pub deduplication_window_us: u64,
 }
 
-/// What a repeat of a request does.
+/// The effect of a repeat of a request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatSemantics {
-    /// Nothing.
+    /// It is harmless.
     #[serde(rename = "read_like")]
     Idempotent,
-    /// It is dropped by its idempotency key.
+    /// Endpoints recognise its idempotency key and drop it.
     #[serde(rename = "idempotency_key")]
     Keyed,
     /// It runs again.
     NonIdempotent,
 }
 
-/// In which order an endpoint serves its queue.
+/// The order in which an endpoint serves its queue.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum QueueOrder {
-    /// The first that arrived.
+    /// In the order of arrival.
     #[default]
     Fifo,
-    /// The first that fits.
+    /// The first request for which there is enough capacity.
     Backfill,
-    /// The highest priority.
+    /// The request with the highest priority.
     Priority,
 }
 
-/// Traits of the service behind the endpoints.
+/// Properties of the service behind the endpoints.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ServiceTraits {
-    /// For each class the index of the kind it is bound to; negative for none.
+    /// For each class, the index of the only machine kind that may serve it; negative for none.
     pub class_kind: Vec<i64>,
-    /// For each class its priority in the queue of an endpoint.
+    /// For each class, its priority in the queue of an endpoint.
     pub class_priority: Vec<i64>,
-    /// In which order endpoints serve their queues.
+    /// The order in which endpoints serve their queues.
     pub queue_order: QueueOrder,
-    /// For each class the share of a request's own work by which its objective grows.
+    /// For each class, the multiple of a request's own work that is added to its objective.
     #[serde(rename = "class-stretch")]
     pub objective_stretch: Vec<f64>,
     /// Interval between progress messages, in microseconds; 0 for none.
     #[serde(rename = "progress-us")]
     pub progress_interval_us: u64,
-    /// Endpoints tell when a request starts.
+    /// Endpoints report when a request starts.
     #[serde(rename = "tells-start")]
     pub reports_start: bool,
 }
 
-/// What the deployment permits.
+/// Limits and permitted operations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Limits {
-    /// Cancelling attempts.
+    /// Cancelling an attempt is allowed.
     #[serde(default, rename = "cancel")]
     pub cancellation: bool,
-    /// A connection idle for this long is closed, in microseconds; 0 where not known.
+    /// Connections that are idle for this long are closed, in microseconds; 0 if unknown.
     #[serde(default, rename = "conn-idle-us")]
     pub connection_idle_us: u64,
-    /// A connection that is not up within this time has failed, in microseconds; 0 for the default
-    /// of 1 s.
+    /// Connect timeout in microseconds; 0 for the default of 1 s.
     #[serde(default)]
     pub connect_timeout_us: u64,
-    /// The longest back-off that clients heed, in microseconds.
+    /// The longest back-off that clients honour, in microseconds.
     #[serde(default)]
     pub max_retry_after_us: u64,
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "most-tries")]
     pub max_attempts: usize,
-    /// Requests queued at once; 0 for no bound. Not a key of the pages: the site file sets it.
+    /// Maximum number of queued requests; 0 for no limit. Set from the site file; deployments do
+    /// not define it.
     #[serde(default, rename = "most-held")]
     pub max_queued: usize,
-    /// Health checks.
+    /// Health checks are allowed.
     #[serde(default, rename = "probes")]
     pub health_checks: bool,
-    /// Telling clients how long to back off.
+    /// Overload responses tell clients how long to back off.
     #[serde(default)]
     pub retry_after: bool,
-    /// Two attempts of a request at once.
+    /// A request may have two attempts in flight at once.
     #[serde(default, rename = "second-copies")]
     pub hedging: bool,
 }
 
-/// Prices, as shares of the mean priority weight of a request.
+/// Costs of operations, as shares of the mean priority weight of a request.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct PriceSettings {
-    /// For sending one request across zones.
+    /// Sending one request across zones.
     pub cross_zone: f64,
-    /// For one health check per request.
+    /// One health check per request.
     #[serde(rename = "probe")]
     pub health_check: f64,
 }
@@ -236,59 +237,63 @@
 /// Load reports.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct LoadReportSettings {
-    /// Names of the values of a report, in their order on the simulator's wire.
+    /// Names of the values of a report, in the order in which the simulator sends them.
     #[serde(default)]
     pub fields: Vec<String>,
-    /// How reports come.
+    /// Which messages carry load reports.
     #[serde(default)]
     pub via: ReportDelivery,
 }
 
-/// How load reports come.
+/// Which messages carry load reports.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportDelivery {
-    /// With responses and with health checks.
+    /// Responses to requests and to health checks.
     #[serde(rename = "answers")]
     Responses,
-    /// With health checks only.
+    /// Responses to health checks only.
     #[serde(rename = "probe")]
     HealthChecks,
-    /// Not at all.
+    /// None: there are no load reports.
     #[default]
     None,
 }
 
-/// The rules of the service in figures.
+/// Parameters of the rules of the service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RuleSettings {
-    /// A dispatcher that has not polled for this long counts as notified, in microseconds.
+    /// A dispatcher that has not polled for this long counts as notified of every change, in
+    /// microseconds.
     #[serde(default, rename = "ask-within-us")]
     pub max_poll_interval_us: u64,
-    /// Nothing new is sent to an endpoint later than this after a notification that it drains, in
-    /// microseconds.
+    /// How long after a notification that an endpoint is draining or gone the dispatcher may still
+    /// send something new to it, in microseconds.
     #[serde(default)]
     pub drain_grace_us: u64,
     /// Share of its capacity that a restarted endpoint has at once.
     #[serde(default = "all", rename = "cold-from")]
     pub slow_start_share: f64,
-    /// How long slow start takes, in microseconds.
+    /// Duration of slow start, in microseconds.
     #[serde(default, rename = "cold-us")]
     pub slow_start_us: u64,
-    /// Window in which an endpoint in slow start must not be overloaded, in microseconds.
+    /// Window over which the load of an endpoint in slow start is measured, in microseconds.
     #[serde(default, rename = "fall-us")]
     pub overload_window_us: u64,
-    /// The multiple of its present capacity that overloads it.
+    /// An endpoint in slow start fails if it is sent more than this multiple of its present
+    /// capacity within the window.
     #[serde(default)]
     #[serde(rename = "tip-multiple")]
     pub overload_multiple: f64,
 }
 
+/// Default of the number of dispatchers.
 fn one() -> usize {
     1
 }
 
+/// Default of values that are shares of a whole.
 fn all() -> f64 {
     1.0
 }
@@ -298,12 +303,12 @@
 }
 
 impl DeploymentSettings {
-    /// The index of the class of this name.
+    /// The index of the class with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The tenant of this name.
+    /// The tenant with this name.
     pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenants
             .iter()
@@ -311,24 +316,25 @@
             .map(TenantId)
     }
 
-    /// The zone of this name. Endpoints without one are in the first, and so are all where the
-    /// settings name none.
+    /// The zone with this name; `None` if the settings define zones but not this one. Without a
+    /// name, or if the settings define no zones, it is the first.
     pub fn zone_id(&self, name: Option<&str>) -> Option<ZoneId> {
         let name = name.filter(|_| !self.zones.is_empty());
         name.map_or(Some(0), |name| index_of(&self.zones, name))
             .map(ZoneId)
     }
 
-    /// The machine kind of this name. Endpoints without one are of the first, and so are all where
-    /// the settings name none.
+    /// The machine kind with this name; `None` if the settings define kinds but not this one.
+    /// Without a name, or if the settings define no kinds, it is the first.
     pub fn kind_id(&self, name: Option<&str>) -> Option<KindId> {
         let name = name.filter(|_| !self.kinds.is_empty());
         name.map_or(Some(0), |name| index_of(&self.kinds, name))
             .map(KindId)
     }
 
-    /// The relative size of an endpoint that the list gives this weight; 0 where the weight does
-    /// not tell. A weight that falls with load would make a busy endpoint look like a slow machine.
+    /// The relative size of an endpoint with this weight on the list; 0 if the weight does not
+    /// express a size. A weight that falls with load is not used, as it would make a busy endpoint
+    /// look like a slow machine.
     pub fn relative_size(&self, weight: Option<f64>) -> f64 {
         let is_size = matches!(
             self.weight_meaning,
@@ -339,15 +345,15 @@
             .unwrap_or(0.0)
     }
 
-    /// A load report from its values by name. The settings and the sockets name some values
-    /// differently.
+    /// Builds a load report from named values. Several names stand for the same value, as the
+    /// simulator and the endpoints name some values differently.
     pub fn build_load_report<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, value) in values {
             match name {
                 "active" | "inflight" => report.in_flight = Some(value),
                 "waiting" | "queue" => report.queued = Some(value),
-                // The first and the second resource of a request: slots and memory.
+                // Resources are numbered; the first is slots and the second memory.
                 "x0" => report.free_slots = Some(value),
                 "x1" => report.free_memory = Some(value),
                 "rps" | "qps" => report.requests_per_second = Some(value),
