--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decisions of a dispatcher that sends requests to endpoints: which endpoint gets a request,
-//! when it is queued or shed, and what becomes of it when endpoints fail.
+//! Load balancing, queueing and retries of a dispatcher that sends requests to endpoints.
 //!
-//! The crate does no I/O. The host keeps the clock, the connections and the timers, hands events to
-//! [`Balancer::handle`] and carries out the actions that come back. Each dispatcher runs one [`Balancer`]; they share
-//! nothing.
+//! The crate does no I/O. The host owns the clock, the connections and the timers, passes events to
+//! [`Balancer::handle`] and carries out the actions that it returns. Each dispatcher runs one
+//! [`Balancer`]; balancers of different dispatchers share no state.
 //!
 //! ```
 //! use pumiceway_decisions::{Balancer, api::*, settings::DeploymentSettings};
@@ -19,7 +18,7 @@
 //! let mut balancer = Balancer::new(settings.to_settings()?, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The host's clock, its list of endpoints, and a request that has arrived.
+//! // The host's clock, the endpoint list, and a request that has arrived.
 //! let mut now = Timestamp::from_micros(1_000_000);
 //! let list = [EndpointEntry {
 //!     endpoint: EndpointId(0),
@@ -46,7 +45,8 @@
 //! };
 //! balancer.handle(now, Event::RequestArrived(request), &mut actions);
 //!
-//! // Carry the actions out in order. The balancer first checks the endpoint that it is about to use.
+//! // Carry out the actions in order. Before the request is sent, the balancer checks the endpoint's
+//! // health.
 //! let mut served = 0;
 //! let mut pending = VecDeque::from(std::mem::take(&mut actions));
 //! while let Some(action) = pending.pop_front() {
@@ -58,7 +58,7 @@
 //!             Event::HealthChecked(HealthCheckResult { endpoint, outcome: Outcome::Success, latency, report })
 //!         }
 //!         Action::Send { request, endpoint, .. } => {
-//!             // ... the endpoint responds 30 ms later, and the host passes the response to the client.
+//!             // The endpoint responds 30 ms later, and the host passes the response to the client.
 //!             let latency = Duration::from_millis(30);
 //!             now += latency;
 //!             served += 1;
@@ -72,7 +72,8 @@
 //!                 report: None,
 //!             })
 //!         }
-//!         Action::SetTimer { .. } => continue, // call handle with Event::TimerFired then
+//!         // A real host passes Event::TimerFired when the timer expires.
+//!         Action::SetTimer { .. } => continue,
 //!         other => {
 //!             println!("{other:?}");
 //!             continue;
--- a/crates/decisions/src/math.rs
+++ b/crates/decisions/src/math.rs
@@ -1,6 +1,7 @@
-//! Arithmetic that every dispatcher has to do alike: no decision, no state.
+//! Hash functions and numeric helpers. Every dispatcher has to compute the same values from the
+//! same inputs.
 
-/// Bits of precision of an `f64` fraction.
+/// Bits of precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 /// 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
 const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -28,20 +29,22 @@
         .fold(0, |state, byte| hash(state ^ u64::from(byte)))
 }
 
-/// The FNV-1a hash of a text, from a basis of the caller's.
+/// The FNV-1a hash of a text, with the given offset basis.
 pub(crate) fn fnv1a(basis: u64, text: &str) -> u64 {
     text.bytes().fold(basis, |state, byte| {
         (state ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-/// A number from 0 to 1, spread evenly over unlike values.
+/// A hash from 0 (inclusive) to 1 (exclusive); the hashes of different values are evenly
+/// distributed.
 pub(crate) fn unit_hash(value: u64) -> f64 {
     let bits = value.wrapping_mul(FIBONACCI_MULTIPLIER) >> (64 - FRACTION_BITS);
     bits as f64 / (1u64 << FRACTION_BITS) as f64
 }
 
-/// Multiples of the golden ratio: their fractions are spread evenly, and neighbours are far apart.
+/// A multiple of the golden ratio's fractional part. The fractional parts of these multiples are
+/// evenly distributed, and those of consecutive indices are far apart.
 pub(crate) fn golden_multiple(index: usize) -> f64 {
     index as f64 * GOLDEN_RATIO_FRACTION
 }
@@ -52,8 +55,7 @@
     1.0 - decay(elapsed_us, time_constant_us)
 }
 
-/// What is left of 1 after exponential decay over a time, with a time constant, both in
-/// microseconds.
+/// The factor of an exponential decay over a time with a time constant, both in microseconds.
 pub(crate) fn decay(elapsed_us: f64, time_constant_us: f64) -> f64 {
     (-elapsed_us / time_constant_us).exp()
 }
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -1,8 +1,7 @@
 //! Points in time on the host's clock.
 //!
-//! The decisions never read a clock: the host passes the present time with each event. A
-//! [`Timestamp`] is a point on that clock and a [`Duration`] a span of it, so the compiler keeps
-//! the two apart.
+//! The crate never reads a clock: the host passes the current time with each event. Points in time
+//! are [`Timestamp`]s and spans are [`Duration`]s, so the compiler rejects code that mixes them up.
 //!
 //! ```
 //! use pumiceway_decisions::api::Timestamp;
@@ -17,17 +16,18 @@
 use std::ops::{Add, AddAssign};
 use std::time::Duration;
 
-/// A point on the host's monotonic clock, in microseconds since an origin of the host's choosing.
+/// A point on the host's monotonic clock, in microseconds since an origin chosen by the host.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The origin of the clock. Stands for "long ago" or "never" where a field says so.
+    /// The origin of the clock. Fields whose documentation says so use it for "long ago" or
+    /// "never".
     pub const ORIGIN: Timestamp = Timestamp(0);
     /// Later than any event.
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
-    /// The point this many microseconds after the clock's origin.
+    /// Creates a timestamp this many microseconds after the clock's origin.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
@@ -37,23 +37,23 @@
         self.0
     }
 
-    /// The time since an earlier point; zero if that point is not earlier.
+    /// The time elapsed since an earlier timestamp; zero if that one is not earlier.
     pub const fn saturating_duration_since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.micros_since(earlier))
     }
 
-    /// The point this long before; the origin if the clock does not reach that far back.
+    /// Subtracts a duration, saturating at [`Timestamp::ORIGIN`].
     pub const fn saturating_sub(self, span: Duration) -> Timestamp {
         Timestamp(self.0.saturating_sub(whole_micros(span)))
     }
 
-    /// Microseconds since an earlier point; zero if that point is not earlier.
+    /// Microseconds since an earlier timestamp; zero if that one is not earlier.
     pub(crate) const fn micros_since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Saturates at [`Timestamp::MAX`].
+/// The addition saturates at [`Timestamp::MAX`].
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
@@ -74,7 +74,8 @@
     }
 }
 
-/// Whole microseconds of a span, the resolution of every clock and setting here.
+/// The duration in whole microseconds, rounded down and saturating at `u64::MAX`. All timestamps
+/// and settings have this resolution.
 pub(crate) const fn whole_micros(span: Duration) -> u64 {
     let micros = span.as_micros();
     if micros > u64::MAX as u128 {
@@ -84,17 +85,17 @@
     }
 }
 
-/// A span in microseconds, for running means and ratios.
+/// The duration in whole microseconds as a floating-point number, for running means and ratios.
 pub(crate) fn micros_f64(span: Duration) -> f64 {
     whole_micros(span) as f64
 }
 
-/// The span of this many microseconds, rounded down; zero for a negative number.
+/// The duration of this many microseconds, rounded down; zero for a negative number.
 pub(crate) fn from_micros_f64(micros: f64) -> Duration {
     Duration::from_micros(micros as u64)
 }
 
-/// The whole microseconds of a fraction of a span.
+/// Divides a duration by an integer, rounding down to whole microseconds.
 pub(crate) fn divide(span: Duration, divisor: u64) -> Duration {
     Duration::from_micros(whole_micros(span) / divisor)
 }
