--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! A test host for the balancer, and the settings and entries that the tests start from.
-#![allow(dead_code)] // each test file uses a part of it
+//! A test host for the balancer, with default settings and endpoint entries.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use pumiceway_decisions::Balancer;
 use pumiceway_decisions::api::*;
 use std::time::Duration;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Duration = Duration::from_millis(1);
-/// When every test starts on the clock of its host.
+/// The time on the host's clock at which every test starts.
 pub const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 /// A class with a latency objective of 200 ms and a deadline of 5 s.
@@ -25,7 +25,7 @@
     }
 }
 
-/// Settings of a single dispatcher with one class, in the first of two zones.
+/// Settings of a single dispatcher with one class and two zones; its home zone is the first.
 pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         instance_index: 0,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The entry of a ready endpoint that started long ago; the names are in the order of the handles.
+/// The entry of a ready endpoint that started long ago. Names sort in the order of the handles.
 pub fn entry(endpoint: u32, zone: usize) -> EndpointEntry<'static> {
     const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
     EndpointEntry {
@@ -94,28 +94,29 @@
     }
 }
 
-/// A host for one balancer: it keeps the clock and collects actions, and models no endpoint.
+/// A host for one balancer. It keeps the clock and collects actions; it does not simulate endpoints.
 pub struct TestHost {
     balancer: Balancer,
-    /// The present time on the clock of the host.
+    /// The current time on the host's clock.
     pub now: Timestamp,
     next_request: u64,
-    /// The class of each request, by its number.
+    /// The class of each request, indexed by its number.
     classes: Vec<usize>,
-    /// The work hint of each request, by its number.
+    /// The work hint of each request, indexed by its number.
     work_hints: Vec<Option<Duration>>,
-    /// What the health checks of [`TestHost::submit`] report as free.
+    /// Free slots and memory that health checks report in [`TestHost::submit`].
     pub reported_free: f64,
-    /// The work hint of requests that arrive from now on.
+    /// The work hint of the next requests.
     pub work_hint: Option<Duration>,
-    /// The affinity key of requests that arrive from now on.
+    /// The affinity key of the next requests.
     pub affinity_key: Option<u64>,
-    /// The tenant of requests that arrive from now on.
+    /// The tenant of the next requests.
     pub tenant: Option<TenantId>,
 }
 
 impl TestHost {
-    /// A host whose balancer knows these endpoints, each of which has reported `slots` as free.
+    /// A host whose balancer has these endpoints on its list, each of which has reported `slots`
+    /// free slots and as much free memory.
     pub fn new(settings: Settings, endpoints: &[EndpointEntry], slots: f64) -> TestHost {
         let mut host = TestHost {
             balancer: Balancer::new(settings, 7).unwrap(),
@@ -135,19 +136,19 @@
         host
     }
 
-    /// Passes an event to the balancer at the present time.
+    /// Passes an event to the balancer at the current time.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// The endpoint list, or a change to it, comes from service discovery.
+    /// Passes an endpoint list, or a change to it, to the balancer.
     pub fn update_endpoints(&mut self, kind: ListKind, entries: &[EndpointEntry]) -> Vec<Action> {
         self.handle(Event::EndpointList { kind, entries })
     }
 
-    /// A health check succeeds and reports this much as free, both slots and memory.
+    /// A health check succeeds and reports `free` free slots and as much free memory.
     pub fn report_free(&mut self, endpoint: u32, free: f64) -> Vec<Action> {
         let report = LoadReport {
             free_slots: Some(free),
@@ -157,7 +158,7 @@
         self.health_checked(endpoint, Outcome::Success, Some(report))
     }
 
-    /// A health check ends a millisecond after it was sent.
+    /// A health check ends, one millisecond after it was sent.
     pub fn health_checked(
         &mut self,
         endpoint: u32,
@@ -172,7 +173,7 @@
         }))
     }
 
-    /// A request arrives; the health checks that this brings about stay unanswered.
+    /// A request arrives. The health checks that this triggers get no response.
     pub fn arrive(&mut self, class: usize, slots: f64) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next_request);
         self.next_request += 1;
@@ -191,7 +192,8 @@
         (request, actions)
     }
 
-    /// A request arrives; the health checks that this brings about report `reported_free`.
+    /// A request arrives. The health checks that this triggers succeed and report
+    /// [`TestHost::reported_free`].
     pub fn submit(&mut self, class: usize, slots: f64) -> (RequestId, Vec<Action>) {
         let (request, mut actions) = self.arrive(class, slots);
         let mut position = 0;
@@ -204,14 +206,15 @@
         (request, actions)
     }
 
-    /// Submits `count` requests of class 0 that take one slot each; returns where each was sent.
+    /// Submits `count` requests of class 0 with one slot each; returns the endpoint to which each
+    /// was sent.
     pub fn submit_many(&mut self, count: usize) -> Vec<Option<u32>> {
         (0..count)
             .map(|_| sent_to(&self.submit(0, 1.0).1))
             .collect()
     }
 
-    /// An attempt ends 50 ms after it was sent; a success is the final response of its request.
+    /// An attempt ends with a latency of 50 ms. A success is the final response to its request.
     pub fn attempt_finished(
         &mut self,
         request: RequestId,
@@ -301,7 +304,7 @@
     }
 }
 
-/// An attempt of a request at an endpoint, without a timeout of its own.
+/// The action that sends a request to an endpoint.
 pub fn send_action(request: RequestId, endpoint: u32) -> Action {
     Action::Send {
         request,
--- a/crates/decisions/tests/endpoint_list.rs
+++ b/crates/decisions/tests/endpoint_list.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         host.submit_many(1),
         [Some(1)],
-        "an endpoint that a snapshot leaves out is gone"
+        "an endpoint that is missing from a snapshot is gone"
     );
 }
 
@@ -55,14 +55,18 @@
     };
     assert_eq!(subscriptions(&host.advance(2_600 * MS, &[0])), 1);
     host.update_endpoints(ListKind::SourceLost, &[]);
-    assert_eq!(host.submit_many(1), [Some(0)], "the previous list stands");
+    assert_eq!(
+        host.submit_many(1),
+        [Some(0)],
+        "the previous list remains in use"
+    );
     assert_eq!(subscriptions(&host.advance(10_000 * MS, &[0])), 1);
     host.update_endpoints(ListKind::Delta, &[]);
     assert_eq!(subscriptions(&host.advance(20_000 * MS, &[0])), 0);
 }
 
-/// An endpoint is not ejected, believed to be in use or sorted by name because of the endpoint that
-/// had its handle before.
+/// The host may give the handle of a removed endpoint to another one. Ejection, rejections, load,
+/// slow start and the place in name order of the former must not apply to the latter.
 #[test]
 fn reused_endpoint_handle_inherits_nothing_from_its_previous_endpoint() {
     let renamed = |endpoint, name| EndpointEntry {
@@ -70,7 +74,7 @@
         ..entry(endpoint, 0)
     };
     let histories: [fn(&mut TestHost); 4] = [
-        // Could not be reached.
+        // Unreachable, and ejected.
         |host| {
             let (request, actions) = host.submit(0, 1.0);
             assert_eq!(sent_to(&actions), Some(0));
@@ -83,7 +87,7 @@
             assert_eq!(sent_to(&actions), Some(0));
             host.attempt_finished(request, 0, 0, Outcome::Rejected);
         },
-        // Full with the requests of other dispatchers.
+        // Full with requests of other dispatchers.
         |host| drop(host.report_free(0, 0.0)),
         // In slow start.
         |host| {
@@ -105,7 +109,7 @@
         host.update_endpoints(ListKind::Delta, &[renamed(0, "z")]);
         assert_eq!(host.submit_many(1), [Some(0)], "history {index}");
     }
-    // The preference order follows the present names.
+    // The preference order follows the new name.
     let mut host = TestHost::new(
         settings(Idempotency::Idempotent),
         &[entry(0, 0), entry(1, 0)],
--- a/crates/decisions/tests/health_checks.rs
+++ b/crates/decisions/tests/health_checks.rs
@@ -1,11 +1,11 @@
-//! Health checks: what their outcomes say about an endpoint and the connections to it.
+//! Health checks: how their outcomes affect an endpoint and the connections to it.
 
 mod common;
 use common::*;
 use pumiceway_decisions::api::*;
 
 #[test]
-fn answered_health_check_restores_an_endpoint_after_a_failed_connection() {
+fn successful_health_check_restores_an_endpoint_after_a_failed_connection() {
     let mut host = TestHost::new(
         settings(Idempotency::Idempotent),
         &[entry(0, 0), entry(1, 0)],
@@ -53,7 +53,7 @@
     assert_eq!(
         host.submit_many(1),
         [Some(0)],
-        "an endpoint that rejects a health check is alive"
+        "an endpoint that rejects a health check is reachable"
     );
 }
 
--- a/crates/decisions/tests/hedging.rs
+++ b/crates/decisions/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: a second attempt beside one that has not started or does not respond.
+//! Hedging: a second attempt while the first has not started or does not respond.
 
 mod common;
 use common::*;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn non_idempotent_request_is_never_hedged_off_an_unresponsive_endpoint() {
+fn non_idempotent_request_is_not_hedged_when_its_endpoint_is_unresponsive() {
     let mut host = TestHost::new(
         settings(Idempotency::NonIdempotent),
         &[entry(0, 0), entry(1, 0)],
--- a/crates/decisions/tests/random_events/main.rs
+++ b/crates/decisions/tests/random_events/main.rs
@@ -1,7 +1,8 @@
-//! The rules of sending and responding under legal but odd orders of events, with fixed seeds.
+//! Checks the rules of sending and responding with random but legal sequences of events, from fixed
+//! seeds.
 //!
-//! No endpoint is modelled: outcomes, progress, list changes and disconnects come at random, and
-//! only the actions are checked.
+//! Endpoints are not simulated: outcomes, progress, list changes and disconnects are random, and
+//! only the balancer's actions are checked.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,10 +14,10 @@
 use rule_checker::{InFlight, RequestRecord, RuleChecker};
 use std::time::Duration;
 
-/// Endpoints of the deployment.
+/// Number of endpoints in the deployment.
 const ENDPOINT_COUNT: u32 = 6;
 
-/// What attempts end with; success is as likely as any two others.
+/// Outcomes of attempts; success has twice the probability of any other.
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Success,
     Outcome::Success,
@@ -34,7 +35,7 @@
     endpoint as usize % 2
 }
 
-/// A balancer with its checker, and the source of the events.
+/// A balancer, the checker of its actions and the source of random events.
 struct RandomRun {
     rng: Rng,
     host: TestHost,
@@ -78,7 +79,7 @@
         self.handle(Event::TimerFired);
     }
 
-    /// Attempts time out at the deadline, before any other event, as a host delivers them.
+    /// Times out attempts at the deadline before any other event, as a real host does.
     fn time_out_overdue_attempts(&mut self) {
         let now = self.host.now;
         for attempt in self.checker.in_flight(|record| record.deadline <= now) {
@@ -124,7 +125,7 @@
             .checker
             .requests
             .get_mut(&attempt.request)
-            .expect("known");
+            .expect("attempts in flight belong to recorded requests");
         let sent_attempt = &mut record.attempts[attempt.attempt_index];
         sent_attempt.outcome = Some(outcome);
         let latency = self
@@ -175,7 +176,7 @@
         });
     }
 
-    /// A client disconnects; perhaps one whose request ended long ago, or was never seen.
+    /// A client disconnects. Its request may have ended long ago, or may never have arrived.
     fn client_disconnects(&mut self) {
         let request_count = self.checker.requests.len() as u64;
         let request = RequestId(self.rng.u64(0..=request_count));
@@ -185,7 +186,7 @@
         self.handle(Event::ClientDisconnected { request });
     }
 
-    /// Progress of any attempt, most often of one that is not in flight.
+    /// Reports progress of a random attempt, which is usually not in flight.
     fn attempt_progresses(&mut self) {
         let request = RequestId(self.rng.u64(0..200));
         let attempt_index = self.rng.usize(0..3);
@@ -214,7 +215,7 @@
     }
 }
 
-/// A class of each idempotency, and a deployment that differs with the seed.
+/// Settings with one class for each kind of idempotency; other properties depend on the seed.
 fn random_run_settings(seed: u64) -> Settings {
     let mut settings = settings(Idempotency::Idempotent);
     let keyed = |scope| Idempotency::Keyed {
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn rules_hold_under_odd_orders_of_events() {
+fn rules_hold_for_random_sequences_of_events() {
     for seed in 0..12 {
         check_random_run(seed);
     }
@@ -252,11 +253,11 @@
     }
     let records = run.checker.requests.values();
     let done = records.filter(|record| record.done).count();
-    assert!(done > 250, "the run exercised the crate");
+    assert!(done > 250, "only {done} requests were done");
 }
 
 #[test]
-fn equal_events_give_equal_actions_and_balancers_share_nothing() {
+fn balancer_is_deterministic_and_independent_of_other_balancers() {
     let run = |with_other_balancer: bool| {
         let mut settings = settings(Idempotency::Idempotent);
         settings.polls_discovery = true;
--- a/crates/decisions/tests/random_events/rule_checker.rs
+++ b/crates/decisions/tests/random_events/rule_checker.rs
@@ -5,7 +5,7 @@
 use pumiceway_decisions::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt that the balancer has sent.
+/// An attempt that the balancer sent.
 pub struct SentAttempt {
     pub endpoint: u32,
     pub sent_at: Timestamp,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A request that has arrived.
+/// A request that has arrived, and its attempts.
 pub struct RequestRecord {
     pub class: usize,
     pub deadline: Timestamp,
@@ -32,7 +32,7 @@
     pub attempts: Vec<SentAttempt>,
 }
 
-/// An attempt in flight, by its request and its number.
+/// An attempt in flight, identified by its request and its number.
 pub struct InFlight {
     pub request: RequestId,
     pub attempt_index: usize,
@@ -43,13 +43,12 @@
 pub struct RuleChecker {
     pub settings: Settings,
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    /// The endpoints that the balancer knows to be draining or gone.
+    /// The endpoints that are draining or gone according to the balancer's list.
     pub not_ready: BTreeSet<u32>,
 }
 
 impl RuleChecker {
-    /// A checker for a balancer with these settings and no request yet, all of whose endpoints are
-    /// ready.
+    /// A checker for a balancer with these settings, without requests and with all endpoints ready.
     pub fn new(settings: Settings) -> RuleChecker {
         RuleChecker {
             settings,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Checks and records the actions that the balancer has returned at this time.
+    /// Checks and records the actions that the balancer returned at this time.
     pub fn check(&mut self, now: Timestamp, actions: &[Action]) {
         for action in actions {
             match *action {
@@ -82,7 +81,7 @@
         let record = self
             .requests
             .get_mut(&request)
-            .expect("sends name known requests");
+            .expect("only requests that have arrived are sent");
         assert!(!record.done, "sent after its final response");
         assert!(now < record.deadline, "sent after the deadline");
         assert!(
@@ -98,7 +97,7 @@
             .iter()
             .filter(|attempt| attempt.in_flight())
             .count();
-        assert!(in_flight < 2, "more than one hedge");
+        assert!(in_flight < 2, "more than two attempts in flight");
         let first_that_may_have_run = record.attempts.iter().find(|attempt| !attempt.never_ran());
         if let Some(first) = first_that_may_have_run {
             match self.settings.classes[record.class].idempotency {
@@ -107,7 +106,10 @@
                     panic!("a non-idempotent request that may have run was sent again")
                 }
                 Idempotency::Keyed { scope, window } => {
-                    assert!(now <= first.sent_at + window, "sent after its window");
+                    assert!(
+                        now <= first.sent_at + window,
+                        "sent after its deduplication window"
+                    );
                     let same_zone = zone(first.endpoint) == zone(endpoint);
                     assert!(
                         scope == DeduplicationScope::All || same_zone,
@@ -127,7 +129,7 @@
         let record = self
             .requests
             .get(&request)
-            .expect("sheds name known requests");
+            .expect("only requests that have arrived are shed");
         let never_ran = record.attempts.iter().all(SentAttempt::never_ran);
         let repeat_is_harmless = matches!(
             self.settings.classes[record.class].idempotency,
@@ -137,7 +139,10 @@
                     ..
                 }
         );
-        assert!(never_ran || repeat_is_harmless, "shed what may have run");
+        assert!(
+            never_ran || repeat_is_harmless,
+            "shed a request that may have run"
+        );
         self.check_final_response(request);
     }
 
@@ -145,21 +150,21 @@
         let record = self
             .requests
             .get_mut(&request)
-            .expect("final responses name known requests");
+            .expect("only requests that have arrived get a final response");
         assert!(!record.done, "two final responses");
         record.done = true;
     }
 
-    /// The attempts in flight of the requests that `selects` accepts.
-    pub fn in_flight(&self, selects: impl Fn(&RequestRecord) -> bool) -> Vec<InFlight> {
-        let mut all = Vec::new();
+    /// The attempts in flight of the requests that match `predicate`.
+    pub fn in_flight(&self, predicate: impl Fn(&RequestRecord) -> bool) -> Vec<InFlight> {
+        let mut in_flight = Vec::new();
         for (&request, record) in &self.requests {
-            if !selects(record) {
+            if !predicate(record) {
                 continue;
             }
             for (attempt_index, attempt) in record.attempts.iter().enumerate() {
                 if attempt.in_flight() {
-                    all.push(InFlight {
+                    in_flight.push(InFlight {
                         request,
                         attempt_index,
                         endpoint: attempt.endpoint,
@@ -167,6 +172,6 @@
                 }
             }
         }
-        all
+        in_flight
     }
 }
--- a/crates/decisions/tests/retries.rs
+++ b/crates/decisions/tests/retries.rs
@@ -18,7 +18,8 @@
     window: Duration::from_secs(1),
 };
 
-/// After one attempt with each outcome: whether the request is retried, shed or only failed.
+/// For each idempotency and each outcome of the first attempt, checks whether the request is
+/// retried, shed or failed.
 #[test]
 fn retries_follow_the_outcome_and_the_idempotency_of_the_class() {
     use Outcome::*;
@@ -39,8 +40,8 @@
         Idempotency::NonIdempotent,
     ] {
         for outcome in outcomes {
-            // With a second endpoint in the deduplication group, the request moves there unless the
-            // rules forbid it.
+            // The second endpoint is in the deduplication group: the request is retried there unless
+            // the rules forbid it.
             let mut host = TestHost::new(settings(idempotency), &[entry(0, 0), entry(1, 0)], 1.0);
             let (request, _) = host.submit(0, 1.0);
             let actions = host.attempt_finished(request, 0, 0, outcome);
@@ -63,7 +64,8 @@
                 );
             }
 
-            // With only an endpoint outside the zone and the cell, until the window is over.
+            // The only remaining endpoint is outside the zone and the cell. Waits until the window
+            // is over.
             let mut host = TestHost::new(settings(idempotency), &[entry(0, 0), entry(1, 1)], 1.0);
             let (request, _) = host.submit(0, 1.0);
             let mut actions = host.attempt_finished(request, 0, 0, outcome);
@@ -79,7 +81,7 @@
             if may_have_run && (second_is_outside || idempotency == Idempotency::NonIdempotent) {
                 assert!(
                     !actions.contains(&send_action(request, 1)),
-                    "{idempotency:?} {outcome:?} left its deduplication group"
+                    "{idempotency:?} {outcome:?}: sent outside its deduplication group"
                 );
                 assert!(
                     is_failed(&actions, request) != actions.contains(&send_action(request, 0))
@@ -100,7 +102,7 @@
     assert_eq!(sent_to(&actions), None);
     assert!(
         is_shed(&actions, request),
-        "where every endpoint deduplicates, a request may be shed"
+        "a request that every endpoint deduplicates may be shed"
     );
 }
 
--- a/crates/decisions/tests/settings_validation.rs
+++ b/crates/decisions/tests/settings_validation.rs
@@ -1,4 +1,4 @@
-//! Which settings a balancer accepts.
+//! Validation of the settings when a balancer is created.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 use pumiceway_decisions::api::*;
 
 #[test]
-fn settings_that_cannot_work_are_rejected() {
+fn invalid_settings_are_rejected() {
     let error_after = |change: fn(&mut Settings)| {
         let mut settings = settings(Idempotency::Idempotent);
         change(&mut settings);
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -1,10 +1,11 @@
-//! Slow start: how much is sent to an endpoint whose process has just started.
+//! Slow start: how many requests an endpoint gets whose process has just started.
 
 mod common;
 use common::*;
 use pumiceway_decisions::api::*;
 
-/// The dispatchers know nothing of each other and use an endpoint in slow start in turns.
+/// Dispatchers do not communicate, so the share that each one computes must not add up to an
+/// overload.
 #[test]
 fn four_hundred_dispatchers_together_stay_within_the_slow_start_budget() {
     let mut sent_count = 0;
@@ -19,7 +20,7 @@
         let mut host = TestHost::new(settings, &[starting], 8.0);
         sent_count += host.submit_many(3).iter().flatten().count();
     }
-    // 3 x 0.65 x 8 slots for 2 s, at 200 ms a request: 156 requests would overload it.
+    // Overload: 3 x 0.65 x 8 slots for 2 s, at 200 ms per request, are 156 requests.
     assert!((40..=156).contains(&sent_count), "{sent_count}");
 }
 
@@ -65,10 +66,10 @@
     assert_eq!(host.submit_many(1), [Some(0)]);
 }
 
-/// Slow start limits neither an endpoint that starts warm nor one for which the settings know no
-/// overload; any other one gets few requests at first.
+/// Slow start limits neither an endpoint that skips it nor any endpoint where the settings define no
+/// overload. Other endpoints get few requests at first.
 #[test]
-fn endpoint_that_starts_warm_or_cannot_overload_has_no_slow_start() {
+fn endpoint_that_skips_slow_start_or_cannot_be_overloaded_is_not_limited() {
     for (skips_slow_start, overload_multiple, expected) in
         [(true, 3.0, 20), (false, 0.0, 20), (false, 3.0, 1)]
     {
--- a/crates/decisions/tests/unreported_endpoints.rs
+++ b/crates/decisions/tests/unreported_endpoints.rs
@@ -1,5 +1,5 @@
-//! Many dispatchers, few endpoints and no health checks: most endpoints have never sent a load
-//! report to a dispatcher, or not for long.
+//! Fleets with more dispatchers than endpoints and without health checks, where a dispatcher has no
+//! recent load report from most endpoints.
 
 mod common;
 use common::*;
@@ -9,10 +9,10 @@
 /// Slots of each endpoint.
 const SLOTS: f64 = 3.0;
 
-/// Endpoints that have not reported; one has.
+/// Number of endpoints that have not reported, besides the one that has.
 const UNREPORTED_COUNT: usize = 7;
 
-/// The host of one of thirty dispatchers, to which a single endpoint has reported, a minute ago.
+/// The host of one of 30 dispatchers. It got a load report from one endpoint only, a minute ago.
 fn dispatcher_host(slots: f64) -> TestHost {
     let settings = Settings {
         instance_count: 30,
@@ -31,7 +31,7 @@
     host
 }
 
-/// Submits a request every 50 ms and returns how many attempts are sent. With `starts`, each
+/// Submits a request every 50 ms and returns how many attempts are sent. If `starts` is set, each
 /// attempt starts and succeeds at once; otherwise none does.
 fn count_sent(host: &mut TestHost, request_count: usize, starts: bool) -> usize {
     let mut sent_count = 0;
@@ -58,19 +58,19 @@
     sent_count
 }
 
-/// In a burst, a dispatcher does not fill the queues of all endpoints that have not reported while
-/// none of its requests has started; later it sends again.
+/// In a burst, endpoints without a load report must not be taken for idle while no request starts:
+/// their queues would fill up. After a while, requests are sent again.
 #[test]
 fn requests_that_do_not_start_count_against_endpoints_that_have_not_reported() {
     let mut host = dispatcher_host(SLOTS);
     let burst = count_sent(&mut host, UNREPORTED_COUNT, false);
     assert!((1..=3).contains(&burst), "{burst}");
-    // The queues may be gone: the next request finds out.
+    // The queues may be empty by now, so the next request is sent.
     host.advance(5_000 * MS, &[]);
     assert_eq!(count_sent(&mut host, 1, true), 1);
 }
 
-/// No endpoint is left idle while every request starts at once.
+/// While every request starts at once, no request is held back from an endpoint without a report.
 #[test]
 fn all_requests_are_sent_while_they_start_at_once() {
     for slots in [1.0, 2.0, SLOTS, 20.0] {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Where all endpoints that have reported are full, the others do not count as idle.
+/// If all endpoints that have reported are full, the others are not taken for idle.
 #[test]
 fn load_reports_count_for_endpoints_that_have_not_reported() {
     let mut host = dispatcher_host(SLOTS);
