--- a/crates/decisions/tests/capacity.rs
+++ b/crates/decisions/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity: what the dispatcher believes an endpoint to have free, and what it sends there.
+//! Capacity: the estimated free capacity of an endpoint, and which requests are sent to it.
 
 mod common;
 use common::*;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn rejecting_endpoint_is_avoided_for_a_while_and_the_request_moves_on() {
+fn rejecting_endpoint_is_avoided_for_a_while_and_the_request_is_sent_to_another() {
     let mut host = TestHost::new(
         settings(Idempotency::NonIdempotent),
         &[entry(0, 0), entry(1, 0)],
@@ -68,11 +68,11 @@
     assert_eq!(host.submit_many(1), [Some(0)]);
 }
 
-/// Where load reports repeat for seconds, a single free report changes the belief little and the
-/// request goes on to the next endpoint.
+/// If load reports stay unchanged for seconds, they are not refreshed often. A single report of free
+/// slots then changes the estimate little, and the request is sent to the next endpoint.
 #[test]
-fn repeated_load_reports_are_believed_less() {
-    // Two dispatchers; every report says full, then one says free.
+fn unchanged_load_reports_get_less_weight() {
+    // Two dispatchers; all reports show a full endpoint, except for the last one.
     let endpoint_after = |repeats: bool| {
         let mut settings = settings(Idempotency::Idempotent);
         settings.instance_count = 2;
@@ -94,8 +94,8 @@
     assert_ne!(endpoint_after(true), endpoint_after(false));
 }
 
-/// The assumed use by other dispatchers, which no report corrects here, keeps no request from an
-/// idle endpoint, not even with a latency objective without stretch.
+/// Without reports, nothing corrects the initial estimate of the use by other dispatchers. It must
+/// not keep requests from an idle endpoint, not even with a latency objective without stretch.
 #[test]
 fn idle_endpoint_that_never_reports_gets_the_first_request_at_once() {
     for (latency_objective, max_concurrent) in [(500, None), (500, Some(1)), (20, None)] {
@@ -125,7 +125,8 @@
     }
 }
 
-/// A request above the limit would be rejected, and the endpoint would be avoided for a second.
+/// A request above the limit would be rejected, and the endpoint would then get no requests for a
+/// second.
 #[test]
 fn endpoint_without_a_queue_gets_no_more_requests_than_its_concurrency_limit() {
     let mut settings = settings_without_reports(Idempotency::NonIdempotent);
@@ -156,7 +157,7 @@
     host.now += 60 * MS;
     assert_eq!(host.submit_many(1), [Some(1)]);
     host.attempt_started(request, 0, 0);
-    // It started late, so others use the endpoint, until load reports say otherwise.
+    // The late start shows that others use the endpoint, until load reports show otherwise.
     assert_eq!(host.submit_many(1), [Some(1)]);
     for _ in 0..5 {
         host.now += 1_000 * MS;
@@ -165,9 +166,9 @@
     assert_eq!(host.submit_many(1), [Some(0)]);
 }
 
-/// A request that has started past a reported queue ends the belief in that queue.
+/// A request that starts promptly shows that a queue in an earlier load report is gone.
 #[test]
-fn prompt_start_shows_that_a_reported_queue_is_gone() {
+fn prompt_start_overrides_a_queue_in_the_last_load_report() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.reports_start = true;
     settings.health_checks = false;
--- a/crates/decisions/tests/deployments.rs
+++ b/crates/decisions/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Traits of single deployments: suspended requests, zones of one endpoint, weights that fall with
-//! load, memory beside slots, and idempotency keys.
+//! Properties that only some deployments have: suspended requests, zones with one endpoint, weights
+//! that fall with load, memory besides slots, and idempotency keys.
 
 mod common;
 use common::*;
@@ -7,13 +7,13 @@
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::time::Duration;
 
-/// Every zone deduplicates on its own.
+/// Each zone deduplicates separately.
 const KEYED: Idempotency = Idempotency::Keyed {
     scope: DeduplicationScope::Zone,
     window: Duration::from_millis(7_500),
 };
 
-/// Three zones; endpoints report starts but no progress; a deadline of 15 s.
+/// Settings with three zones and a deadline of 15 s, where endpoints report starts but no progress.
 fn zoned_settings(idempotency: Idempotency) -> Settings {
     let mut settings = Settings {
         zone_count: 3,
@@ -25,7 +25,7 @@
     settings
 }
 
-/// The load report of an endpoint with these slots and this memory free.
+/// A load report with this many free slots and this much free memory.
 fn load_report(slots: f64, memory: f64) -> LoadReport {
     LoadReport {
         free_slots: Some(slots),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A request that takes one slot and this memory arrives. Health checks get the load report of
+/// A request with one slot and this much memory arrives. Health checks return the load report of
 /// their endpoint from `reports`.
 fn submit(
     host: &mut TestHost,
@@ -64,15 +64,15 @@
     (request, actions)
 }
 
-/// Each of the first endpoints reports this many slots as free.
+/// Each of the first `endpoint_count` endpoints reports this many free slots.
 fn report_all_free(host: &mut TestHost, endpoint_count: u32, slots: f64) -> Vec<Action> {
     (0..endpoint_count)
         .flat_map(|endpoint| host.report_free(endpoint, slots))
         .collect()
 }
 
-/// An endpoint may suspend a request for one of higher priority without reporting it; the request
-/// then takes four times as long.
+/// An endpoint may suspend a request in favour of one of higher priority without reporting it. The
+/// request then takes four times as long, which must not be mistaken for a failure.
 #[test]
 fn suspended_request_ejects_no_endpoint_and_is_not_hedged() {
     let mut host = TestHost::new(
@@ -82,7 +82,7 @@
     );
     let reports = [load_report(3.0, 3.0); 3];
     let run_time = 300 * MS;
-    // How long the class takes is known before one of its requests takes longer.
+    // Learns the running time of the class before one of its requests takes longer.
     for number in 0..120 {
         let (request, actions) = submit(&mut host, number, 0.5, &reports);
         let endpoint = sent_to(&actions).expect("an endpoint has capacity");
@@ -99,7 +99,7 @@
         })
         .collect();
     let (suspended, endpoint_of_suspended) = in_flight[0];
-    let only_routine = |actions: &[Action]| {
+    let no_request_affected = |actions: &[Action]| {
         actions.iter().all(|action| {
             matches!(
                 action,
@@ -108,28 +108,28 @@
         })
     };
     let actions = host.advance(run_time, &[0, 1, 2]);
-    assert!(only_routine(&actions), "{actions:?}");
+    assert!(no_request_affected(&actions), "{actions:?}");
     for &(request, endpoint) in &in_flight[1..] {
         let actions = host.attempt_succeeded(request, endpoint, run_time);
-        assert!(only_routine(&actions), "{actions:?}");
+        assert!(no_request_affected(&actions), "{actions:?}");
     }
     let actions = host.advance(3 * run_time, &[0, 1, 2]);
-    assert!(only_routine(&actions), "{actions:?}");
+    assert!(no_request_affected(&actions), "{actions:?}");
     report_all_free(&mut host, 3, 2.0);
     let (next, actions) = submit(&mut host, 300, 0.5, &[load_report(2.0, 2.0); 3]);
     assert_eq!(
         sent_to(&actions),
         Some(endpoint_of_suspended),
-        "requests still go to its endpoint"
+        "requests are still sent to its endpoint"
     );
     host.attempt_succeeded(next, endpoint_of_suspended, run_time);
     let actions = host.attempt_succeeded(suspended, endpoint_of_suspended, 4 * run_time);
-    assert!(only_routine(&actions), "{actions:?}");
+    assert!(no_request_affected(&actions), "{actions:?}");
 }
 
-/// Requests go to other zones for as long, and return afterwards.
+/// Requests are sent to other zones for that time, and to the home zone again afterwards.
 #[test]
-fn zone_with_one_endpoint_is_left_while_that_is_full_or_lost() {
+fn other_zones_are_used_while_the_only_endpoint_of_the_home_zone_is_full_or_lost() {
     let mut host = TestHost::new(
         zoned_settings(Idempotency::NonIdempotent),
         &[entry(0, 1), entry(1, 2), entry(2, 0)],
@@ -156,14 +156,15 @@
     actions.extend(report_all_free(&mut host, 2, 3.0));
     assert!(
         sent_to(&actions).is_some_and(|endpoint| endpoint != 2),
-        "what never reached the lost zone is sent elsewhere: {actions:?}"
+        "a request that never reached the lost zone is sent elsewhere: {actions:?}"
     );
     let actions = submit(&mut host, 11, 0.5, &reports).1;
     assert!(
         sent_to(&actions).is_some_and(|endpoint| endpoint != 2),
         "and so is the next request: {actions:?}"
     );
-    // Non-idempotent requests return last, when no other request has tried the endpoint for 10 s.
+    // The endpoint is on probation, which is reserved for idempotent requests unless none has
+    // arrived for 10 s.
     host.advance(10_000 * MS, &[0, 1, 2]);
     report_all_free(&mut host, 3, 3.0);
     host.advance(11_000 * MS, &[0, 1, 2]);
@@ -172,8 +173,8 @@
     assert_eq!(sent_to(&actions), Some(2), "the endpoint is used again");
 }
 
-/// Weights that fall with load are not relative sizes: taken for such they would make a busy
-/// endpoint look like a slow machine.
+/// Weights that fall with load must not be taken for relative sizes, as a busy endpoint would then
+/// look like a slow machine.
 #[test]
 fn weights_that_change_with_every_update_do_not_affect_selection() {
     let document: DeploymentSettings = serde_json::from_str(
@@ -222,7 +223,7 @@
     assert_eq!(constant, live);
 }
 
-/// It does not count as a slow machine beside one whose relative size is known.
+/// It must not count as a slow machine because the relative size of another one is known.
 #[test]
 fn endpoint_of_unknown_relative_size_does_not_come_last() {
     let known = EndpointEntry {
@@ -251,7 +252,7 @@
     );
 }
 
-/// At an endpoint without free memory it would wait for as long as another request runs.
+/// At an endpoint without free memory, the request would wait until another one has ended.
 #[test]
 fn request_that_finds_slots_but_no_memory_is_sent_elsewhere_or_queued() {
     let mut host = TestHost::new(
@@ -298,8 +299,8 @@
     assert_eq!(sent_to(&actions), Some(1), "{actions:?}");
 }
 
-/// Other zones do not know its key, and after the window no endpoint does; it is failed then, and
-/// not shed, as the client must not retry it either.
+/// Other zones do not recognise its key, and after the window no endpoint does. The request then
+/// fails instead of being shed, as the client must not retry it either.
 #[test]
 fn retry_of_a_keyed_request_stays_in_its_zone_and_its_window() {
     let endpoints = [entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)];
@@ -313,13 +314,13 @@
         host.attempt_started(request, 0, first);
         (host, request, first)
     };
-    // A second endpoint of the zone gets the retry.
+    // The other endpoint of the zone gets the retry.
     let (mut host, request, first) = send_first_attempt();
     host.now += 7_000 * MS;
     let mut actions = host.attempt_finished(request, 0, first, Outcome::Reset);
     actions.extend(report_all_free(&mut host, 4, 3.0));
     assert_eq!(sent_to(&actions), Some(1 - first), "{actions:?}");
-    // It has not run where it never arrived: any zone may get it then, as this one is lost.
+    // No attempt reached an endpoint, so the request has not run, and other zones may get it.
     let (mut host, request, first) = send_first_attempt();
     let mut actions = host.attempt_finished(request, 0, first, Outcome::ConnectFailed);
     actions.extend(host.health_checked(first, Outcome::ConnectFailed, None));
@@ -330,7 +331,7 @@
         sent_to(&actions).is_some_and(|endpoint| endpoint > 1),
         "{actions:?}"
     );
-    // Where it may have run, no other zone may get it, though the endpoints of this one are lost.
+    // The request may have run, so no other zone may get it although the home zone is lost.
     let (mut host, request, first) = send_first_attempt();
     host.advance(1_000 * MS, &[0, 1, 2, 3]);
     let mut actions = host.health_checked(1 - first, Outcome::ConnectFailed, None);
@@ -341,7 +342,7 @@
         sent_to(&actions).is_none() && is_failed(&actions, request) && !is_shed(&actions, request),
         "{actions:?}"
     );
-    // After the window, no endpoint at all may get it.
+    // After the deduplication window, no endpoint may get it.
     let (mut host, request, first) = send_first_attempt();
     host.now += 7_600 * MS;
     let mut actions = host.attempt_finished(request, 0, first, Outcome::Reset);
--- a/crates/decisions/tests/large_fleet.rs
+++ b/crates/decisions/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Large fleets: many dispatchers with few requests each. What is harmless for one dispatcher may
-//! be harmful when a hundred do it.
+//! Large fleets: many dispatchers with few requests each. Decisions that are harmless for a single
+//! dispatcher can overload endpoints when a hundred dispatchers take them.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
     }
 }
 
-/// An endpoint reports every 100 ms what this function says is free, for 6 s.
+/// For 6 s, an endpoint reports every 100 ms the free capacity that `free` returns for the round.
 fn report_for_six_seconds(host: &mut TestHost, endpoint: u32, free: fn(u32) -> f64) {
     for round in 0..60 {
         host.now += 100 * MS;
@@ -23,8 +23,8 @@
     }
 }
 
-/// A request that was queued at a full endpoint could not give way to one of higher weight, and the
-/// requests of many dispatchers would add up to a queue that no load report shows.
+/// Guards against queueing requests at full endpoints: there a request of higher weight could not
+/// overtake them, and those of many dispatchers would add up to a queue that no load report shows.
 #[test]
 fn request_without_capacity_is_queued_here_and_not_at_a_full_endpoint() {
     let result_with = |instance_count| {
@@ -42,16 +42,17 @@
     assert_eq!(
         result_with(1),
         (None, true),
-        "it is shed in time as no endpoint has capacity"
+        "it is shed in time, as no endpoint has capacity"
     );
     assert_eq!(
         result_with(20),
         (None, true),
-        "among many dispatchers as well"
+        "the same with many dispatchers"
     );
 }
 
-/// Many dispatchers do not all send to the one free slot that a load report shows them.
+/// Guards against many dispatchers sending to the same free slot because they all see the same load
+/// report.
 #[test]
 fn endpoints_with_spare_capacity_come_first_in_a_large_fleet() {
     let sent_with = |instance_count| {
@@ -70,7 +71,8 @@
     );
 }
 
-/// An endpoint may report free slots and start nothing, as the head of its queue does not fit.
+/// An endpoint may report free slots and still start no request, because the head of its queue does
+/// not fit into them. Dispatchers must not keep sending requests that wait behind it.
 #[test]
 fn endpoint_where_a_request_did_not_start_is_avoided_for_longer_each_time() {
     let mut host = TestHost::new(
@@ -92,7 +94,7 @@
         host.attempt_finished(request, 0, 0, Outcome::Cancelled);
         host.attempt_finished(request, 1, 1, Outcome::Success);
         let avoided_since = host.now;
-        // The load reports of the endpoint go on showing free slots.
+        // The endpoint continues to report free slots.
         loop {
             host.now += 50 * MS;
             host.report_free(0, 4.0);
@@ -113,8 +115,8 @@
     );
 }
 
-/// The turns at an endpoint in slow start do not pass unused while the other endpoints are sent
-/// more than they can start.
+/// Guards against unused turns at an endpoint in slow start while other endpoints get more requests
+/// than they can start.
 #[test]
 fn dispatcher_sends_to_an_endpoint_in_slow_start_first_when_it_is_its_turn() {
     let starting = || EndpointEntry {
@@ -141,7 +143,7 @@
     );
 }
 
-/// A large fleet does not shed its requests until the first load reports come.
+/// Guards against shedding all requests of a large fleet before the first load reports are received.
 #[test]
 fn endpoint_that_has_not_reported_is_health_checked_once_and_sent_the_request() {
     let sent_with = |instance_count| {
@@ -164,8 +166,9 @@
     assert_eq!((sent_with(1), sent_with(20)), (None, Some(0)));
 }
 
-/// Among many dispatchers the load report is believed as it is; a single dispatcher accepts an
-/// endpoint that it believes to lack less than a slot.
+/// In a large fleet a load report is used without smoothing, so the request goes to the endpoint
+/// that reports all its slots free. A single dispatcher uses a smoothed estimate and accepts an
+/// endpoint that lacks less than a slot.
 #[test]
 fn request_that_takes_a_whole_endpoint_goes_to_one_that_reports_itself_empty() {
     let sent_with = |instance_count| {
@@ -183,7 +186,8 @@
     assert_eq!((sent_with(1), sent_with(20)), (Some(1), Some(1)));
 }
 
-/// Not every one of many dispatchers has to find out by its own requests that an endpoint is slow.
+/// A slow endpoint is detected from its load reports. Otherwise each of many dispatchers would have
+/// to find out with its own requests.
 #[test]
 fn endpoint_with_low_throughput_for_its_utilization_comes_last_in_a_large_fleet() {
     let sent_with = |instance_count| {
@@ -212,7 +216,8 @@
     );
 }
 
-/// High CPU utilization with few completed requests marks an endpoint as slow at its first report.
+/// An endpoint with high CPU utilization and few completed requests is slow from its first report
+/// on.
 #[test]
 fn single_load_report_identifies_a_slow_endpoint() {
     let sent_after_one_report = |requests_per_second, cpu_utilization| {
@@ -241,7 +246,7 @@
     assert_eq!(
         sent_after_one_report(Some(0.2), Some(0.9)),
         [Some(1)],
-        "slow by its throughput"
+        "slow: low throughput at high utilization"
     );
     assert_eq!(sent_after_one_report(Some(1.2), Some(0.9)), [Some(0)]);
     assert_eq!(
@@ -252,11 +257,11 @@
     assert_eq!(
         sent_after_one_report(None, None),
         [Some(0)],
-        "without figures"
+        "no throughput and utilization reported"
     );
 }
 
-/// A request does not spend its attempts on the connect timeouts of a lost zone.
+/// Guards against requests that spend all their attempts on connect timeouts in a lost zone.
 #[test]
 fn home_zone_with_two_unresponsive_endpoints_and_no_responsive_one_is_left_at_once() {
     let sent_with = |instance_count, third_responds| {
@@ -290,8 +295,8 @@
     assert_eq!(sent_with(1, false), [Some(2)]);
 }
 
-/// Otherwise every endpoint fetches the data of every key, and the store they fetch from slows
-/// down.
+/// Guards against every endpoint fetching the data of every key, which would overload the store
+/// that they fetch it from.
 #[test]
 fn requests_with_one_affinity_key_go_to_the_same_endpoints_from_every_dispatcher() {
     let endpoints: Vec<_> = (0..8).map(|number| entry(number, 0)).collect();
@@ -306,7 +311,7 @@
     };
     let mut used = Vec::new();
     for affinity_key in 0..24 {
-        // Of two endpoints for each key, about half of the dispatchers begin at each.
+        // Each key has two first endpoints, and about half of the dispatchers start with each.
         let sent: Vec<u32> = (0..20)
             .map(|instance_index| first_endpoint(instance_index, affinity_key))
             .collect();
@@ -322,13 +327,16 @@
         used.extend(distinct);
     }
     let distinct: BTreeSet<_> = used.iter().collect();
-    assert!(distinct.len() >= 6, "keys are spread: {used:?}");
+    assert!(
+        distinct.len() >= 6,
+        "keys are distributed over the endpoints: {used:?}"
+    );
 }
 
-/// Full endpoints do not at once bring the others to fetch the data of a key, which would fill them
-/// too.
+/// While the endpoints of a key are full, its requests wait briefly. Sent elsewhere at once, they
+/// would make other endpoints fetch the data of the key and fill them too.
 #[test]
-fn request_waits_a_little_for_the_endpoints_of_its_affinity_key() {
+fn request_waits_briefly_for_the_endpoints_of_its_affinity_key() {
     let endpoints: Vec<_> = (0..8).map(|number| entry(number, 0)).collect();
     let mut host = TestHost::new(fleet_settings(Idempotency::Idempotent, 20), &endpoints, 4.0);
     host.affinity_key = Some(7);
@@ -340,7 +348,7 @@
     assert_eq!(
         full.len(),
         4,
-        "half of eight, the least number of endpoints for a key: {full:?}"
+        "the minimum number of endpoints for a key is 4: {full:?}"
     );
     let (request, actions) = host.arrive(0, 1.0);
     assert!(sent_to(&actions).is_none() && !is_shed(&actions, request));
@@ -361,10 +369,10 @@
     );
 }
 
-/// A list that falls below three endpoints for each dispatcher bounds the rate of health checks
-/// from then on; the earlier ones do not count against that bound.
+/// With fewer than three endpoints per dispatcher, the rate of periodic health checks is limited.
+/// Checks that were sent before the list shrank must not count against that limit.
 #[test]
-fn health_check_rounds_go_on_when_the_list_gets_shorter() {
+fn periodic_health_checks_continue_at_a_lower_rate_when_the_list_shrinks() {
     let endpoints: Vec<_> = (0..8).map(|number| entry(number, 0)).collect();
     let mut host = TestHost::new(fleet_settings(Idempotency::Idempotent, 2), &endpoints, 4.0);
     let count_health_checks = |host: &mut TestHost, span| {
@@ -376,12 +384,12 @@
     };
     assert!(
         count_health_checks(&mut host, 120_000 * MS) > 50,
-        "one for each of eight endpoints in each of its gaps"
+        "one per endpoint in each refresh interval of eight request gaps"
     );
     host.update_endpoints(ListKind::Snapshot, &endpoints[..5]);
     let count = count_health_checks(&mut host, 20_000 * MS);
     assert!(
         (10..=25).contains(&count),
-        "nine in ten of one a second: {count}"
+        "expected 0.9 per second: {count}"
     );
 }
--- a/crates/decisions/tests/outlier_detection.rs
+++ b/crates/decisions/tests/outlier_detection.rs
@@ -1,11 +1,11 @@
-//! Outlier detection: endpoints that fail or do not respond, and how they are used again.
+//! Outlier detection: how endpoints that fail or do not respond are avoided and used again.
 
 mod common;
 use common::*;
 use pumiceway_decisions::api::*;
 
 #[test]
-fn unresponsive_endpoint_loses_its_place_and_regains_it_through_probation() {
+fn unresponsive_endpoint_is_ejected_and_returns_on_probation() {
     let mut host = TestHost::new(
         settings(Idempotency::Idempotent),
         &[entry(0, 0), entry(1, 0)],
@@ -13,17 +13,19 @@
     );
     let (request, actions) = host.submit(0, 1.0);
     assert_eq!(sent_to(&actions), Some(0));
-    // No response and no answered health check: the request is hedged, and new ones follow it.
+    // The endpoint responds neither to the request nor to health checks: the request is hedged, and
+    // new requests are sent to the other endpoint.
     let actions = host.advance(2_000 * MS, &[1]);
     assert!(actions.contains(&send_action(request, 1)), "{actions:?}");
     assert_eq!(host.submit_many(1), [Some(1)]);
-    // After its first answered health check it gets a single request until that has ended.
+    // After its first successful health check it gets a single request until that one has ended.
     host.advance(14_000 * MS, &[0, 1]);
     host.attempt_finished(request, 0, 0, Outcome::Timeout);
     assert_eq!(host.submit_many(2), [Some(0), Some(1)]);
 }
 
-/// A deployment without idempotent requests still finds out that a failed endpoint is back.
+/// Probation is reserved for idempotent requests. In a deployment without any, a recovered endpoint
+/// must still be used again.
 #[test]
 fn failed_endpoint_is_tried_by_any_request_where_no_idempotent_ones_arrive() {
     let mut settings = settings_without_reports(Idempotency::NonIdempotent);
@@ -45,8 +47,8 @@
     assert_eq!(sent_to(&host.advance(2_000 * MS, &[])), Some(0));
 }
 
-/// An endpoint that fails requests at once always has free slots; it does not attract the requests
-/// that must not run twice.
+/// An endpoint that returns errors at once always has free slots. It must not attract requests that
+/// must not run twice.
 #[test]
 fn endpoint_that_returns_errors_gets_single_idempotent_requests_until_it_succeeds() {
     let mut settings = settings(Idempotency::NonIdempotent);
@@ -110,7 +112,7 @@
     );
     assert_eq!(host.submit_many(1), [Some(0)]);
     host.advance(4_500 * MS, &[0, 1]);
-    // Non-idempotent requests avoid the endpoint until it has responded to a request.
+    // Non-idempotent requests are not sent to the endpoint until it has responded to a request.
     assert_eq!(host.submit_many(1), [Some(1)]);
     let mut host = TestHost::new(settings(Idempotency::Idempotent), &[entry(0, 0)], 1.0);
     assert_eq!(host.submit_many(1), [Some(0)]);
@@ -122,7 +124,8 @@
     );
 }
 
-/// After a stall the responses may still be in the backlog, so an overdue one says nothing.
+/// After a stall, responses may have arrived that the process has not read yet, so an overdue
+/// response is no evidence of a failure.
 #[test]
 fn stall_of_the_dispatcher_ejects_no_endpoint() {
     let mut settings = settings(Idempotency::Idempotent);
--- a/crates/decisions/tests/queueing.rs
+++ b/crates/decisions/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! Admission: how long a request is queued here, which is sent first and which is shed.
+//! Admission: how long the dispatcher queues a request, which one is sent first and which is shed.
 
 mod common;
 use common::*;
@@ -34,14 +34,14 @@
     );
 }
 
-/// The back-offs are spread, so that clients do not come back together.
+/// Back-offs are random, so that clients do not retry at the same time.
 #[test]
 fn request_that_cannot_start_in_time_is_shed_with_a_back_off() {
     let mut host = TestHost::new(settings(Idempotency::NonIdempotent), &[], 1.0);
     let (request, actions) = host.submit(0, 1.0);
     assert!(
         !is_shed(&actions, request),
-        "with an empty list requests are queued at first"
+        "with an empty endpoint list, requests are queued at first"
     );
     let actions = host.advance(1_000 * MS, &[]);
     assert!(is_shed(&actions, request) && !is_failed(&actions, request));
@@ -77,8 +77,8 @@
     );
 }
 
-/// A class with a maximum queue time is not shed at its latency objective, and not so late that it
-/// runs into the deadline.
+/// A request of a class with a maximum queue time is not shed at its latency objective, but early
+/// enough that its client gets the response before the deadline.
 #[test]
 fn request_is_queued_for_max_queue_time_while_it_can_still_meet_its_deadline() {
     let mut settings = settings_without_reports(Idempotency::NonIdempotent);
@@ -87,8 +87,8 @@
     let (request, _) = host.submit(0, 1.0);
     assert!(!is_shed(&host.advance(4_500 * MS, &[]), request));
     assert!(is_shed(&host.advance(420 * MS, &[]), request));
-    // Once the class is known to take a second, a request has to start a second before its
-    // deadline.
+    // Once a running time of 1 s was observed for the class, its requests have to start 1 s before
+    // their deadline.
     host.update_endpoints(
         ListKind::Snapshot,
         &[EndpointEntry {
@@ -105,7 +105,8 @@
     assert!(is_shed(&host.advance(300 * MS, &[]), request));
 }
 
-/// The queue is bounded, and a flood of one class leaves places to a class of higher weight.
+/// Guards against a flood of one class that fills the bounded queue and keeps out a class of higher
+/// weight.
 #[test]
 fn full_queue_sheds_the_request_with_the_lowest_priority_weight_at_once() {
     let mut settings = settings_without_reports(Idempotency::Idempotent);
@@ -132,10 +133,10 @@
     );
 }
 
-/// The initial estimate gives way after a few requests; those in flight count too, since the first
-/// ones to end are the short ones.
+/// A wrong initial estimate of the running time must be corrected after a few requests. Requests in
+/// flight count as well, because short requests end first and would bias the estimate.
 #[test]
-fn service_time_is_learnt_from_the_first_requests_and_those_still_in_flight() {
+fn running_time_is_learnt_from_the_first_requests_and_those_still_in_flight() {
     let mut settings = settings_without_reports(Idempotency::NonIdempotent);
     settings.classes[0].max_queue_time = Some(5_000 * MS);
     settings.classes[0].deadline = 20_000 * MS;
@@ -162,7 +163,7 @@
     };
     assert!(
         shed_after(3, MS, 0) > 4_850,
-        "a class that takes a millisecond is known after three requests"
+        "three requests suffice to learn a running time of 1 ms"
     );
     let without_in_flight = shed_after(1, 500 * MS, 0);
     let with_in_flight = shed_after(1, 500 * MS, 2);
@@ -172,8 +173,8 @@
     );
 }
 
-/// A flood of one tenant, or of clients without a tenant, does not delay the requests of the
-/// others.
+/// Guards against a flood of one tenant, or of clients without a tenant, that delays the requests of
+/// other tenants.
 #[test]
 fn requests_over_the_quota_of_their_tenant_are_sent_last() {
     let sent_first = |flood_tenant: Option<TenantId>, tenants: Vec<Tenant>| {
@@ -216,7 +217,7 @@
     assert_eq!(
         sent_first(Some(TenantId(1)), tenants),
         (false, true),
-        "one tenant: in the order of arrival"
+        "a single tenant: in the order of arrival"
     );
     assert_eq!(
         sent_first(None, vec![]),
--- a/crates/decisions/tests/retry_rules.rs
+++ b/crates/decisions/tests/retry_rules.rs
@@ -1,5 +1,5 @@
-//! Which requests may be sent again, and until when, in three different deployments with their own
-//! settings documents.
+//! Which requests may be sent again, and until when, with the settings documents of three different
+//! deployments.
 
 mod common;
 use common::*;
@@ -7,11 +7,12 @@
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::time::Duration;
 
-/// The resolution of the clock.
+/// Resolution of the clock.
 const MICROSECOND: Duration = Duration::from_micros(1);
 
-/// The first has short windows and deadlines, the second deduplicates within a zone for long, the
-/// third deduplicates within a cell and has many attempts and long deadlines.
+/// The first has short deduplication windows and deadlines, the second deduplicates within a zone
+/// and has long windows, and the third deduplicates within a cell and has many attempts and long
+/// deadlines.
 const DEPLOYMENTS: [&str; 3] = [
     r#"{"lanes":[
       {"name":"look","aim-us":300000,"deadline-us":300000,"points":1,
@@ -41,7 +42,7 @@
       "limits":{"most-tries":6,"cancel":true},"rules":{}}"#,
 ];
 
-/// The settings that a document of [`DEPLOYMENTS`] gives.
+/// The settings from a document of [`DEPLOYMENTS`].
 fn deployment_settings(document: &str) -> Settings {
     let document: DeploymentSettings = serde_json::from_str(document).unwrap();
     document.to_settings().unwrap()
@@ -55,7 +56,7 @@
     first: u32,
 }
 
-/// A request that takes one slot, with the number 0 and class 0.
+/// A request with number 0, class 0 and one slot.
 fn incoming_request() -> IncomingRequest {
     IncomingRequest {
         request: RequestId(0),
@@ -69,8 +70,8 @@
     }
 }
 
-/// Sends a request of this class to one of two endpoints of a deduplication group; a third endpoint
-/// is outside.
+/// Sends a request of this class to one of two endpoints in the same deduplication group. A third
+/// endpoint is outside the group.
 fn send_first_attempt(settings: &Settings, class: usize) -> InFlight {
     let outside = EndpointEntry {
         cell: Some(1),
@@ -91,10 +92,10 @@
     }
 }
 
-/// A retry may arrive late by the time that a connection takes to come up, and must not arrive
-/// after the deduplication window.
+/// A retry may arrive up to the connect timeout after it was sent, and must not arrive after the
+/// deduplication window.
 #[test]
-fn retry_is_decided_only_while_it_can_still_arrive_within_the_window() {
+fn retry_is_sent_only_while_it_can_still_arrive_within_the_window() {
     for (number, document) in DEPLOYMENTS.iter().enumerate() {
         let settings = deployment_settings(document);
         let connect_timeout = Duration::from_micros([50_000, 250_000, 1_000_000][number]);
@@ -143,10 +144,11 @@
     }
 }
 
-/// The endpoint of the first attempt turns out to be unreachable near the end of the window.
+/// The endpoint of the first attempt is found to be unreachable near the end of the deduplication
+/// window.
 #[test]
 fn hedge_is_sent_only_while_it_can_still_arrive_within_the_window() {
-    for (before_last, is_hedged) in [(MICROSECOND, true), (Duration::ZERO, false)] {
+    for (margin, is_hedged) in [(MICROSECOND, true), (Duration::ZERO, false)] {
         let settings = deployment_settings(DEPLOYMENTS[0]);
         let InFlight {
             mut host,
@@ -155,7 +157,7 @@
         } = send_first_attempt(&settings, 1);
         host.advance(700 * MS, &[0, 1, 2]);
         host.now += (100 * MS)
-            .checked_sub(settings.connect_timeout + before_last)
+            .checked_sub(settings.connect_timeout + margin)
             .unwrap();
         let other_request = RequestId(1);
         let incoming = IncomingRequest {
@@ -179,8 +181,8 @@
     }
 }
 
-/// The endpoint of the first attempt is listed in another zone and cell by now, or is gone; only
-/// the group that it was in knows of the attempt.
+/// After the first attempt, its endpoint is listed in another zone and cell, or is gone. Only the
+/// deduplication group that it was in at the time of the send recognises a repeat.
 #[test]
 fn retry_goes_to_the_group_that_the_first_endpoint_was_in_when_the_request_was_sent() {
     for document in &DEPLOYMENTS[1..] {
@@ -214,7 +216,8 @@
     }
 }
 
-/// A request ends with its client also where attempts may not be cancelled.
+/// A request whose client has disconnected must not be sent again, even if its attempt in flight
+/// cannot be cancelled.
 #[test]
 fn request_of_a_disconnected_client_is_not_sent_again_where_cancellation_is_not_allowed() {
     for (number, document) in DEPLOYMENTS.iter().enumerate() {
@@ -251,7 +254,8 @@
     }
 }
 
-/// A repeated outcome does not send the request on twice either.
+/// A second outcome of the same attempt must be ignored: it must neither free the slots again nor
+/// trigger another retry.
 #[test]
 fn repeated_outcome_frees_its_slots_once() {
     for document in DEPLOYMENTS {
@@ -285,7 +289,7 @@
             );
             host.attempt_finished(RequestId(0), 0, 0, outcome);
             host.attempt_finished(RequestId(0), 0, 0, outcome);
-            // The endpoint has restarted, so that nothing but its slots keeps requests from it.
+            // The restart clears rejections and ejections, so only used slots hold requests back.
             host.handle(Event::ClientDisconnected {
                 request: RequestId(0),
             });
--- a/crates/decisions/tests/selection.rs
+++ b/crates/decisions/tests/selection.rs
@@ -1,17 +1,17 @@
-//! Endpoint selection: the preference order, and the constraints of a class.
+//! Endpoint selection: the preference order and the constraints of a class.
 
 mod common;
 use common::*;
 use pumiceway_decisions::api::*;
 use std::collections::BTreeSet;
 
-/// Two endpoints in each zone. Zone 0 is the home zone and has `b` and `c`; the order of the
-/// entries is not that of the names.
+/// Two endpoints in each zone, not sorted by name. Zone 0 is the home zone and contains `b` and
+/// `c`.
 fn four_endpoints() -> [EndpointEntry<'static>; 4] {
     [entry(2, 0), entry(0, 1), entry(1, 0), entry(3, 1)]
 }
 
-/// The next endpoint of the order is used only when those before it are full.
+/// An endpoint is used only when all endpoints before it in the order are full.
 #[test]
 fn endpoints_fill_in_name_order_with_the_home_zone_first() {
     let mut host = TestHost::new(settings(Idempotency::Idempotent), &four_endpoints(), 2.0);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn each_dispatcher_starts_at_its_own_place_in_the_order() {
+fn each_dispatcher_starts_at_its_own_position_in_the_order() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.instance_index = 1;
     settings.instance_count = 2;
@@ -75,9 +75,10 @@
     assert_eq!(host.submit_many(1), [Some(1)]);
 }
 
-/// Dispatchers that share their first endpoint continue in different orders.
+/// Dispatchers with the same first endpoint use different orders after it. Otherwise they would all
+/// overflow to the same second endpoint.
 #[test]
-fn dispatchers_with_the_same_first_endpoint_go_on_to_different_ones() {
+fn dispatchers_with_the_same_first_endpoint_have_different_second_ones() {
     let endpoints: Vec<_> = (0..7).map(|number| entry(number, 0)).collect();
     let mut second_endpoints = BTreeSet::new();
     for instance_index in 0..2 {
@@ -118,8 +119,8 @@
     );
     let (request, actions) = host.submit(0, 1.0);
     assert_eq!(sent_to(&actions), Some(3));
-    // The only allowed endpoint does not respond: no hedge goes anywhere else, and a second request
-    // is queued, then shed.
+    // The only allowed endpoint does not respond: the request is not hedged elsewhere, and a second
+    // request is queued and then shed.
     let (second, actions) = host.submit(0, 1.0);
     assert_eq!(sent_to(&actions), None);
     let actions = host.advance(4_900 * MS, &[0, 1, 2]);
@@ -129,10 +130,10 @@
     assert!(sent_to(&actions).is_none());
 }
 
-/// A class without restrictions leaves a machine kind to the class that is restricted to it; an
-/// empty list of allowed zones allows no endpoint at all.
+/// An unrestricted class prefers machine kinds to which no other class is restricted. An empty list
+/// of allowed zones allows no endpoint at all.
 #[test]
-fn empty_zone_list_allows_no_endpoint_and_restricted_kinds_are_spared() {
+fn empty_zone_list_allows_no_endpoint_and_unrestricted_class_avoids_restricted_kinds() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.kind_count = 2;
     settings.classes.push(class(Idempotency::Idempotent));
@@ -147,7 +148,7 @@
     assert_eq!(
         sent_to(&host.submit(0, 1.0).1),
         Some(1),
-        "the unrestricted class leaves kind 0 to class 1"
+        "the unrestricted class avoids kind 0, to which class 1 is restricted"
     );
     assert_eq!(sent_to(&host.submit(1, 1.0).1), Some(0));
     let (request, actions) = host.submit(2, 1.0);
@@ -167,7 +168,7 @@
     let actions = host.attempt_finished(first, 0, 0, Outcome::Success);
     assert!(
         actions.contains(&send_action(second, 0)),
-        "the home zone freed a slot in time: {actions:?}"
+        "a slot in the home zone was freed in time: {actions:?}"
     );
     let (third, _) = host.submit(0, 1.0);
     assert!(
--- a/crates/decisions/tests/slow_start_budget.rs
+++ b/crates/decisions/tests/slow_start_budget.rs
@@ -1,13 +1,14 @@
-//! The budget of an endpoint in slow start, shared by dispatchers that know nothing of each other.
+//! The budget of an endpoint in slow start, shared by dispatchers that do not communicate.
 //!
-//! The work that all of them send there is summed over every window that slides along slow start.
+//! The tests sum the work that all dispatchers send to the endpoint over a sliding window.
 
 mod common;
 use common::*;
 use pumiceway_decisions::api::*;
 use std::time::Duration;
 
-/// The class of the request that arrives at a dispatcher, if one does; called for every [`STEP`].
+/// The class of the request that arrives at a dispatcher in a step, if one does. Called once for
+/// every [`STEP`].
 type Traffic = fn(instance_index: usize, age: Duration) -> Option<usize>;
 
 const STEP: Duration = Duration::from_millis(20);
@@ -15,27 +16,26 @@
 /// Slots of each endpoint.
 const SLOTS: f64 = 4.0;
 
-/// When the endpoint in slow start starts; all dispatchers have learnt by then.
+/// Start time of the endpoint in slow start; the warm-up of all dispatchers ends before it.
 const STARTED_AT: Timestamp =
     Timestamp::from_micros(START.as_micros() + 1_000_000 * MS.as_micros() as u64);
 
-/// Draws from a normal distribution, in no order.
-const NORMAL_DRAWS: [f64; 10] = [0.4, -0.7, 1.5, -0.1, -1.5, 0.1, -1.0, 0.7, -0.4, 1.0];
+/// Samples of a normal distribution, in arbitrary order.
+const NORMAL_SAMPLES: [f64; 10] = [0.4, -0.7, 1.5, -0.1, -1.5, 0.1, -1.0, 0.7, -0.4, 1.0];
 
-/// How many dispatchers there are, how long a request of each class runs, and what arrives.
+/// A number of dispatchers with their traffic, running times and load reports.
 struct Scenario {
     instance_count: usize,
-    /// For each class, how long its requests run.
+    /// The running time of the requests of each class.
     run_times: Vec<Duration>,
     traffic: Traffic,
-    /// Relative spread of the free slots that an idle endpoint reports.
+    /// Scale of the noise in the free slots that an idle endpoint reports, relative to its slots.
     report_noise: f64,
-    /// How many times longer requests run than their work hint says; `None`: they have no work
-    /// hint.
+    /// Ratio of running time to work hint; `None`: requests have no work hint.
     slowdown: Option<u32>,
-    /// Work hints differ widely from request to request.
+    /// Work hints vary widely between requests.
     varied_hints: bool,
-    /// How long requests were queued before they ran, while the dispatchers learnt.
+    /// How long requests were queued at the endpoint before they ran, during the warm-up.
     queue_time: Duration,
 }
 
@@ -46,20 +46,20 @@
     run_time: Duration,
 }
 
-/// What a scenario has led to.
+/// The result of a scenario.
 struct BudgetUse {
-    /// The largest share of its budget that the endpoint was sent within any window.
+    /// The largest work within any window, as a share of the budget.
     largest_window_share: f64,
-    /// All work that it was sent, as a share of what it can do during slow start.
+    /// Total work as a share of the endpoint's capacity during slow start.
     utilization: f64,
 }
 
 impl Scenario {
-    fn play(&self) -> BudgetUse {
+    fn run(&self) -> BudgetUse {
         let settings = self.settings();
         let mut hosts: Vec<TestHost> = (0..self.instance_count)
             .map(|instance_index| {
-                self.learnt_host(Settings {
+                self.warmed_up_host(Settings {
                     instance_index,
                     ..settings.clone()
                 })
@@ -83,11 +83,9 @@
     }
 
     fn settings(&self) -> Settings {
-        let class_of_each = self.run_times.iter();
+        let run_times = self.run_times.iter();
         Settings {
-            classes: class_of_each
-                .map(|_| class(Idempotency::Idempotent))
-                .collect(),
+            classes: run_times.map(|_| class(Idempotency::Idempotent)).collect(),
             instance_count: self.instance_count,
             kind_count: 2,
             reports_start: true,
@@ -99,8 +97,8 @@
         }
     }
 
-    /// Fires the timer, submits a request of this class and carries the actions out; returns how
-    /// long each request runs that was sent.
+    /// Fires the timer, submits a request of this class and carries out the actions. Returns the
+    /// running times of the requests that were sent.
     fn run_step(&self, host: &mut TestHost, class: Option<usize>) -> Vec<Duration> {
         let mut run_times = Vec::new();
         let mut actions = host.handle(Event::TimerFired);
@@ -116,7 +114,7 @@
                 Action::Send { request, .. } => {
                     let run_time = self.run_time(host, request);
                     run_times.push(run_time);
-                    // It succeeds at once, so that only the budget holds anything back.
+                    // Succeeds at once, so that only the budget limits what is sent.
                     actions.extend(host.attempt_succeeded(request, 0, run_time));
                 }
                 _ => {}
@@ -126,7 +124,7 @@
         run_times
     }
 
-    /// How long a request runs on the endpoint.
+    /// The running time of a request on the endpoint.
     fn run_time(&self, host: &TestHost, request: RequestId) -> Duration {
         let run_time_of_class = self.run_times[host.class_of(request)];
         host.work_hint_of(request).unwrap_or(run_time_of_class) * self.slowdown.unwrap_or(1)
@@ -143,18 +141,18 @@
     }
 
     fn reported_free(&self, index: usize) -> f64 {
-        // One report in a hundred is an outlier.
-        let draw = if index % 97 == 20 {
+        // About one report in a hundred is an outlier.
+        let sample = if index % 97 == 20 {
             4.0
         } else {
-            NORMAL_DRAWS[index % NORMAL_DRAWS.len()]
+            NORMAL_SAMPLES[index % NORMAL_SAMPLES.len()]
         };
-        SLOTS * (1.0 + self.report_noise * draw)
+        SLOTS * (1.0 + self.report_noise * sample)
     }
 
-    /// A dispatcher that has learnt from another endpoint how long requests run. That endpoint is
-    /// gone, and the one in slow start has just started.
-    fn learnt_host(&self, settings: Settings) -> TestHost {
+    /// The host of a dispatcher that has learnt the running times from another endpoint. That
+    /// endpoint is gone, and the one in slow start has just started.
+    fn warmed_up_host(&self, settings: Settings) -> TestHost {
         let mut host = TestHost::new(settings, &[entry(1, 0)], SLOTS);
         for index in 0..200 * self.run_times.len() {
             let class = index % self.run_times.len();
@@ -182,9 +180,9 @@
 
 fn budget_use(settings: &Settings, sent: &[SentWork]) -> BudgetUse {
     let window = settings.overload_window;
-    let first_share = settings.slow_start_share;
+    let initial_share = settings.slow_start_share;
     let capacity_share = |age: Duration| {
-        first_share + (1.0 - first_share) * micros(age) / micros(settings.slow_start_duration)
+        initial_share + (1.0 - initial_share) * micros(age) / micros(settings.slow_start_duration)
     };
     let mut largest_window_share = 0.0f64;
     for first in sent {
@@ -197,11 +195,11 @@
         let budget = settings.overload_multiple * mean_capacity * micros(window);
         largest_window_share = largest_window_share.max(micros(work) / budget);
     }
-    let capacity = SLOTS * micros(settings.slow_start_duration) * (1.0 + first_share) / 2.0;
-    let all_work: f64 = sent.iter().map(|work| micros(work.run_time)).sum();
+    let capacity = SLOTS * micros(settings.slow_start_duration) * (1.0 + initial_share) / 2.0;
+    let total_work: f64 = sent.iter().map(|work| micros(work.run_time)).sum();
     BudgetUse {
         largest_window_share,
-        utilization: all_work / capacity,
+        utilization: total_work / capacity,
     }
 }
 
@@ -210,26 +208,28 @@
 }
 
 fn assert_within_budget(scenario: &Scenario) {
-    assert_within(scenario, 1.1);
+    assert_within_share(scenario, 1.1);
 }
 
-fn assert_within(scenario: &Scenario, allowed_share: f64) {
+/// Asserts that the work within any window is at most this share of the budget, and that more than
+/// half of the capacity is used.
+fn assert_within_share(scenario: &Scenario, max_window_share: f64) {
     let BudgetUse {
         largest_window_share,
         utilization,
-    } = scenario.play();
+    } = scenario.run();
     assert!(
-        largest_window_share <= allowed_share,
-        "{largest_window_share:.2} of its budget was sent within one window"
+        largest_window_share <= max_window_share,
+        "the work within one window was {largest_window_share:.2} of the budget"
     );
     assert!(
         utilization > 0.5,
-        "only {utilization:.2} of what it could do was used"
+        "only {utilization:.2} of the capacity was used"
     );
 }
 
 #[test]
-fn endpoint_that_all_dispatchers_wait_for_stays_within_its_budget_in_every_window() {
+fn budget_holds_in_every_window_when_all_dispatchers_wait_for_the_endpoint() {
     assert_within_budget(&Scenario {
         instance_count: 45,
         run_times: vec![200 * MS],
@@ -242,10 +242,10 @@
 }
 
 #[test]
-fn budget_holds_when_traffic_sets_in_at_any_moment_of_a_turn() {
+fn budget_holds_when_traffic_begins_at_any_point_of_a_turn() {
     const QUIET: Duration = Duration::from_secs(3);
     const BUSY: Duration = Duration::from_millis(1_500);
-    // The traffic sets in at another place within a turn each time, whatever the length of turns.
+    // Each burst begins at a different point of a turn, independent of the length of turns.
     fn traffic(_instance_index: usize, age: Duration) -> Option<usize> {
         let cycle = QUIET.as_micros() / 3 + BUSY.as_micros();
         let position = (age.as_micros() + age.as_micros() / 7) % cycle;
@@ -264,13 +264,13 @@
 
 #[test]
 fn long_requests_use_more_of_the_budget_than_short_ones() {
-    // Short ones most of the time, so that the mean is that of a short one, then only long ones.
+    // Mostly short requests, so that the mean is close to theirs, alternating with only long ones.
     let traffic: Traffic = |instance_index, age| {
         let only_long = age.as_micros() / (5_000 * MS).as_micros() % 2 == 1;
         Some(usize::from(only_long || instance_index % 9 == 0))
     };
-    // Whole requests are sent, and a single long one is a large part of the budget at first.
-    assert_within(
+    // Requests are indivisible, and a single long one is a large share of the budget at first.
+    assert_within_share(
         &Scenario {
             instance_count: 45,
             run_times: vec![100 * MS, 500 * MS],
@@ -286,8 +286,9 @@
 
 #[test]
 fn single_outlying_load_report_does_not_enlarge_the_budget() {
-    // The mean of the load reports that are nearly free is a fifth above the middle of such noise.
-    assert_within(
+    // With this noise, the mean of the reports that count as nearly idle is a fifth above the actual
+    // slots.
+    assert_within_share(
         &Scenario {
             instance_count: 45,
             run_times: vec![200 * MS],
@@ -359,8 +360,8 @@
 fn requests_with_widely_varied_work_hints_stay_within_the_budget() {
     let traffic: Traffic = |_, _| Some(0);
     let run_times = vec![400 * MS];
-    // The longest request is a large part of the budget.
-    assert_within(
+    // The longest request is a large share of the budget.
+    assert_within_share(
         &Scenario {
             instance_count: 45,
             run_times,
