--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -13,7 +13,8 @@
 //! let settings: DeploymentSettings = serde_json::from_str(
 //!     r#"{"lanes": [{"name": "rate-push", "aim-us": 200000, "deadline-us": 5000000, "points": 1,
 //!         "semantics": "read_like"}],
-//!         "limits": {"most-tries": 3, "probes": true}, "report": {"via": "answers"}, "rules": {}}"#,
+//!         "limits": {"most-tries": 3, "probes": true}, "report": {"via": "answers"},
+//!         "rules": {}}"#,
 //! )?;
 //! let mut balancer = Balancer::new(settings.to_settings()?, 42)?;
 //! let mut actions = Vec::new();
@@ -32,7 +33,8 @@
 //!     skips_slow_start: false,
 //!     max_concurrent: None,
 //! }];
-//! balancer.handle(now, Event::EndpointList { kind: ListKind::Snapshot, entries: &list }, &mut actions);
+//! let event = Event::EndpointList { kind: ListKind::Snapshot, entries: &list };
+//! balancer.handle(now, event, &mut actions);
 //! let request = IncomingRequest {
 //!     request: RequestId(0),
 //!     class: ClassId(0),
@@ -45,8 +47,8 @@
 //! };
 //! balancer.handle(now, Event::RequestArrived(request), &mut actions);
 //!
-//! // Carry out the actions in order. Before the request is sent, the balancer checks the endpoint's
-//! // health.
+//! // Carry out the actions in order. Before it sends the request, the balancer checks the health
+//! // of the endpoint.
 //! let mut served = 0;
 //! let mut pending = VecDeque::from(std::mem::take(&mut actions));
 //! while let Some(action) = pending.pop_front() {
@@ -55,10 +57,15 @@
 //!             let latency = Duration::from_millis(1);
 //!             now += latency;
 //!             let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
-//!             Event::HealthChecked(HealthCheckResult { endpoint, outcome: Outcome::Success, latency, report })
+//!             Event::HealthChecked(HealthCheckResult {
+//!                 endpoint,
+//!                 outcome: Outcome::Success,
+//!                 latency,
+//!                 report,
+//!             })
 //!         }
 //!         Action::Send { request, endpoint, .. } => {
-//!             // The endpoint responds 30 ms later, and the host passes the response to the client.
+//!             // The endpoint responds after 30 ms, and the host passes the response on.
 //!             let latency = Duration::from_millis(30);
 //!             now += latency;
 //!             served += 1;
--- a/crates/decisions/tests/capacity.rs
+++ b/crates/decisions/tests/capacity.rs
@@ -68,8 +68,8 @@
     assert_eq!(host.submit_many(1), [Some(0)]);
 }
 
-/// If load reports stay unchanged for seconds, they are not refreshed often. A single report of free
-/// slots then changes the estimate little, and the request is sent to the next endpoint.
+/// If load reports stay unchanged for seconds, they are not refreshed often. A single report of
+/// free slots then changes the estimate little, and the request is sent to the next endpoint.
 #[test]
 fn unchanged_load_reports_get_less_weight() {
     // Two dispatchers; all reports show a full endpoint, except for the last one.
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -94,7 +94,8 @@
     }
 }
 
-/// A host for one balancer. It keeps the clock and collects actions; it does not simulate endpoints.
+/// A host for one balancer. It keeps the clock and collects actions, and does not simulate
+/// endpoints.
 pub struct TestHost {
     balancer: Balancer,
     /// The current time on the host's clock.
--- a/crates/decisions/tests/large_fleet.rs
+++ b/crates/decisions/tests/large_fleet.rs
@@ -143,7 +143,8 @@
     );
 }
 
-/// Guards against shedding all requests of a large fleet before the first load reports are received.
+/// Guards against shedding all requests of a large fleet before the first load reports are
+/// received.
 #[test]
 fn endpoint_that_has_not_reported_is_health_checked_once_and_sent_the_request() {
     let sent_with = |instance_count| {
--- a/crates/decisions/tests/queueing.rs
+++ b/crates/decisions/tests/queueing.rs
@@ -173,8 +173,8 @@
     );
 }
 
-/// Guards against a flood of one tenant, or of clients without a tenant, that delays the requests of
-/// other tenants.
+/// Guards against a flood of one tenant, or of clients without a tenant, that delays the requests
+/// of other tenants.
 #[test]
 fn requests_over_the_quota_of_their_tenant_are_sent_last() {
     let sent_first = |flood_tenant: Option<TenantId>, tenants: Vec<Tenant>| {
--- a/crates/decisions/tests/retries.rs
+++ b/crates/decisions/tests/retries.rs
@@ -40,8 +40,8 @@
         Idempotency::NonIdempotent,
     ] {
         for outcome in outcomes {
-            // The second endpoint is in the deduplication group: the request is retried there unless
-            // the rules forbid it.
+            // The second endpoint is in the deduplication group: the request is retried there
+            // unless the rules forbid it.
             let mut host = TestHost::new(settings(idempotency), &[entry(0, 0), entry(1, 0)], 1.0);
             let (request, _) = host.submit(0, 1.0);
             let actions = host.attempt_finished(request, 0, 0, outcome);
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -66,8 +66,8 @@
     assert_eq!(host.submit_many(1), [Some(0)]);
 }
 
-/// Slow start limits neither an endpoint that skips it nor any endpoint where the settings define no
-/// overload. Other endpoints get few requests at first.
+/// Slow start limits neither an endpoint that skips it nor any endpoint where the settings define
+/// no overload. Other endpoints get few requests at first.
 #[test]
 fn endpoint_that_skips_slow_start_or_cannot_be_overloaded_is_not_limited() {
     for (skips_slow_start, overload_multiple, expected) in
--- a/crates/decisions/tests/slow_start_budget.rs
+++ b/crates/decisions/tests/slow_start_budget.rs
@@ -286,8 +286,8 @@
 
 #[test]
 fn single_outlying_load_report_does_not_enlarge_the_budget() {
-    // With this noise, the mean of the reports that count as nearly idle is a fifth above the actual
-    // slots.
+    // With this noise, the mean of the reports that count as nearly idle is a fifth above the
+    // actual slots.
     assert_within_share(
         &Scenario {
             instance_count: 45,
