--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decisions of a dispatcher that sends requests to endpoints: which endpoint gets a request,
-//! when it is queued or shed, and what becomes of it when endpoints fail.
+//! Load balancing, queueing and retries of a dispatcher that sends requests to endpoints.
 //!
-//! The crate does no I/O. The host keeps the clock, the connections and the timers, hands events to
-//! [`Balancer::handle`] and carries out the actions that come back. Each dispatcher runs one [`Balancer`]; they share
-//! nothing.
+//! The crate does no I/O. The host owns the clock, the connections and the timers, passes events to
+//! [`Balancer::handle`] and carries out the actions that it returns. Each dispatcher runs one
+//! [`Balancer`]; balancers of different dispatchers share no state.
 //!
 //! ```
 //! use pumiceway_decisions::{Balancer, api::*, settings::DeploymentSettings};
@@ -14,12 +13,13 @@
 //! let settings: DeploymentSettings = serde_json::from_str(
 //!     r#"{"lanes": [{"name": "rate-push", "aim-us": 200000, "deadline-us": 5000000, "points": 1,
 //!         "semantics": "read_like"}],
-//!         "limits": {"most-tries": 3, "probes": true}, "report": {"via": "answers"}, "rules": {}}"#,
+//!         "limits": {"most-tries": 3, "probes": true}, "report": {"via": "answers"},
+//!         "rules": {}}"#,
 //! )?;
 //! let mut balancer = Balancer::new(settings.to_settings()?, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The host's clock, its list of endpoints, and a request that has arrived.
+//! // The host's clock, the endpoint list, and a request that has arrived.
 //! let mut now = Timestamp::from_micros(1_000_000);
 //! let list = [EndpointEntry {
 //!     endpoint: EndpointId(0),
@@ -33,7 +33,8 @@
 //!     skips_slow_start: false,
 //!     max_concurrent: None,
 //! }];
-//! balancer.handle(now, Event::EndpointList { kind: ListKind::Snapshot, entries: &list }, &mut actions);
+//! let event = Event::EndpointList { kind: ListKind::Snapshot, entries: &list };
+//! balancer.handle(now, event, &mut actions);
 //! let request = IncomingRequest {
 //!     request: RequestId(0),
 //!     class: ClassId(0),
@@ -46,7 +47,8 @@
 //! };
 //! balancer.handle(now, Event::RequestArrived(request), &mut actions);
 //!
-//! // Carry the actions out in order. The balancer first checks the endpoint that it is about to use.
+//! // Carry out the actions in order. Before it sends the request, the balancer checks the health
+//! // of the endpoint.
 //! let mut served = 0;
 //! let mut pending = VecDeque::from(std::mem::take(&mut actions));
 //! while let Some(action) = pending.pop_front() {
@@ -55,10 +57,15 @@
 //!             let latency = Duration::from_millis(1);
 //!             now += latency;
 //!             let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
-//!             Event::HealthChecked(HealthCheckResult { endpoint, outcome: Outcome::Success, latency, report })
+//!             Event::HealthChecked(HealthCheckResult {
+//!                 endpoint,
+//!                 outcome: Outcome::Success,
+//!                 latency,
+//!                 report,
+//!             })
 //!         }
 //!         Action::Send { request, endpoint, .. } => {
-//!             // ... the endpoint responds 30 ms later, and the host passes the response to the client.
+//!             // The endpoint responds after 30 ms, and the host passes the response on.
 //!             let latency = Duration::from_millis(30);
 //!             now += latency;
 //!             served += 1;
@@ -72,7 +79,8 @@
 //!                 report: None,
 //!             })
 //!         }
-//!         Action::SetTimer { .. } => continue, // call handle with Event::TimerFired then
+//!         // A real host passes Event::TimerFired when the timer expires.
+//!         Action::SetTimer { .. } => continue,
 //!         other => {
 //!             println!("{other:?}");
 //!             continue;
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -107,7 +107,7 @@
             ..report
         };
         let state = &mut self.state;
-        state.endpoints[id.index()].note_report(now, load, &mut state.report_interval_us);
+        state.endpoints[id.index()].record_report(now, load, &mut state.report_interval_us);
     }
 
     /// Slots in use or needed by queued requests. Free slots are never reported as less than 0, so
