--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -118,7 +118,7 @@
 
     /// Where the set of valid leases has changed since the last review: all endpoints that are
     /// listed.
-    pub(crate) fn review_leases(&mut self, now: Timestamp) -> Option<Vec<EndpointId>> {
+    pub(crate) fn refresh_leases(&mut self, now: Timestamp) -> Option<Vec<EndpointId>> {
         let usable = self.leases.valid(now);
         let before = std::mem::replace(&mut self.usable, usable);
         (before != usable).then(|| self.listed())
--- a/crates/core/src/reducer/attempts.rs
+++ b/crates/core/src/reducer/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts in flight. Each has exactly one outcome: an attempt is kept until then and forgotten
-//! with it, so that what comes for it later finds nothing.
+//! Attempts in flight. Each has exactly one outcome: the attempt is removed with it, so later
+//! updates and outcomes for the same attempt are ignored.
 
 use super::requests::OpenRequest;
 use super::timers::Timer;
@@ -14,11 +14,11 @@
 use pumiceway_decisions::rules::{self, AttemptRecord, Denial, Execution};
 use std::time::Duration;
 
-/// An attempt is waited for until this long before the client's deadline, as its response has to
-/// arrive before it.
+/// Attempts time out this long before the client's deadline, which leaves time for the final
+/// response to arrive.
 pub(super) const ATTEMPT_MARGIN: Duration = Duration::from_millis(25);
-/// How long idle connections are distrusted after one was found dead.
-const DISTRUST_IDLE: Duration = Duration::from_secs(30);
+/// How long non-idempotent requests avoid idle connections after one was found closed.
+const IDLE_CONNECTION_AVOIDANCE: Duration = Duration::from_secs(30);
 
 /// An attempt in flight.
 pub(super) struct InFlightAttempt {
@@ -26,22 +26,23 @@
     attempt_index: usize,
     endpoint: EndpointId,
     sent_at: Timestamp,
-    /// When it is no longer waited for.
+    /// When the attempt times out.
     timeout_at: Timestamp,
 }
 
-/// What the decisions want sent.
-pub(super) struct SendRequest {
+/// The fields of [`Action::Send`](api::Action::Send).
+pub(super) struct SendParams {
     pub(super) request: RequestId,
     pub(super) endpoint: EndpointId,
-    /// Give it up after this time; `None` or zero: when the client does.
+    /// Timeout of the attempt; with `None` or zero, only the deadline of the request applies.
     pub(super) timeout: Option<Duration>,
 }
 
 impl Core {
-    pub(super) fn send(&mut self, now: Timestamp, send: &SendRequest, effects: &mut Vec<Effect>) {
+    pub(super) fn send(&mut self, now: Timestamp, send: &SendParams, effects: &mut Vec<Effect>) {
         let attempt = AttemptId(self.next_id());
-        // Before the attempt is recorded, as it would count against itself.
+        // Checked before the attempt is recorded, which would otherwise count against its own
+        // limit.
         let permission = self.send_permission(now, send);
         let address = self.endpoints.address(send.endpoint).cloned();
         let (zone, cell) = self.endpoints.zone_and_cell(send.endpoint);
@@ -80,7 +81,7 @@
             }
             (_, permission) => {
                 if let Err(denial) = permission {
-                    self.note_denial(denial, effects);
+                    self.record_denial(denial, effects);
                 }
                 self.end_attempt(now, attempt, Outcome::NotSent, None);
             }
@@ -104,9 +105,9 @@
         let request = &self.requests[&request];
         self.timers.set(timeout_at, Timer::AttemptTimeout(attempt));
         let until_deadline = request.deadline.saturating_duration_since(now);
-        // A request that must not run twice would be lost with an idle connection that was dropped
-        // unnoticed.
-        let must_not_repeat =
+        // A non-idempotent request cannot be retried if the endpoint has already closed the idle
+        // connection on which it is sent.
+        let is_non_idempotent =
             self.settings.classes[request.class.0].idempotency == Idempotency::NonIdempotent;
         Effect::StartAttempt {
             attempt,
@@ -116,17 +117,17 @@
             class: request.class,
             job: request.job.clone(),
             remaining: until_deadline.min(timeout_at.saturating_duration_since(now)),
-            dedicated_connection: now < self.distrust_idle_until && must_not_repeat,
+            dedicated_connection: now < self.avoid_idle_connections_until && is_non_idempotent,
             write_by,
         }
     }
 
-    /// Whether a request may be sent to an endpoint now, and until when its first byte may be
-    /// written.
+    /// Whether a request may be sent to an endpoint now, and the latest time to write its first
+    /// byte (`None`: no limit).
     fn send_permission(
         &self,
         now: Timestamp,
-        send: &SendRequest,
+        send: &SendParams,
     ) -> Result<Option<Timestamp>, Denial> {
         let request = self
             .requests
@@ -138,7 +139,7 @@
         self.endpoints.write_permission(now, send.endpoint)
     }
 
-    /// What the rules permit for a request.
+    /// What the rules permit for a request after its attempts so far.
     pub(super) fn permission(&self, now: Timestamp, request: &OpenRequest) -> rules::Permission {
         rules::attempt_permission(
             now,
@@ -148,17 +149,17 @@
         )
     }
 
-    pub(super) fn cancel(
+    pub(super) fn cancel_attempt(
         &mut self,
         now: Timestamp,
         request: RequestId,
         attempt_index: usize,
         effects: &mut Vec<Effect>,
     ) {
-        let is_named = |attempt: &InFlightAttempt| {
+        let is_match = |attempt: &InFlightAttempt| {
             attempt.request == request && attempt.attempt_index == attempt_index
         };
-        let found = self.attempts.iter().find(|(_, attempt)| is_named(attempt));
+        let found = self.attempts.iter().find(|(_, attempt)| is_match(attempt));
         if let Some((&attempt, _)) = found {
             effects.push(Effect::AbortAttempt { attempt });
             self.end_attempt(now, attempt, Outcome::Cancelled, None);
@@ -228,7 +229,7 @@
                 Outcome::Success
             }
             AttemptOutcome::InvalidJob => {
-                // Every other endpoint would find the job invalid as well.
+                // Not retried: the job would be invalid at any other endpoint as well.
                 let response = ClientResponse::Rejected(Rejection::InvalidJob);
                 self.respond(now, request, &response, effects);
                 Outcome::Error
@@ -239,7 +240,7 @@
             AttemptOutcome::NotSent => Outcome::NotSent,
             AttemptOutcome::Reset => Outcome::Reset,
             AttemptOutcome::IdleConnectionReset => {
-                self.distrust_idle_until = now + DISTRUST_IDLE;
+                self.avoid_idle_connections_until = now + IDLE_CONNECTION_AVOIDANCE;
                 Outcome::Reset
             }
             AttemptOutcome::TimedOut => Outcome::Timeout,
@@ -247,7 +248,7 @@
         self.end_attempt(now, attempt, outcome, report);
     }
 
-    /// Records the one outcome of an attempt, and tells the decisions.
+    /// Removes an attempt, records its outcome and notifies the balancer.
     fn end_attempt(
         &mut self,
         now: Timestamp,
@@ -288,6 +289,6 @@
             report,
         };
         self.notify_balancer(api::Event::AttemptEnded(result));
-        self.forget_if_over(request);
+        self.remove_if_finished(request);
     }
 }
--- a/crates/core/src/reducer/balancer.rs
+++ b/crates/core/src/reducer/balancer.rs
@@ -1,9 +1,10 @@
-//! The decisions: what they are told, and how their actions are carried out.
+//! The interface to the balancer: passes events to it and executes its actions.
 //!
-//! Each action is checked against the rules once more. The decisions ask the same rules, so a
-//! denial is a fault of theirs, unless a response or a deadline has crossed the decision.
+//! Each action is checked against the rules again before it is executed. The balancer applies the
+//! same rules, so a denial is a bug in the balancer, unless a response or the deadline came between
+//! the decision and its execution.
 
-use super::attempts::SendRequest;
+use super::attempts::SendParams;
 use crate::{ClientResponse, Core, Effect, Failure, HealthCheckId, Warning};
 use pumiceway_decisions::api::{
     self, Action, EndpointId, HealthCheckResult, ListKind, LoadReport, Outcome, RequestId,
@@ -12,12 +13,12 @@
 use pumiceway_decisions::rules::Denial;
 use std::time::Duration;
 
-/// The shortest timer of the decisions: endpoints that answer health checks at once would make them
-/// run without pause.
+/// Lower bound of the balancer's timer: with endpoints that respond to health checks at once, the
+/// balancer would otherwise run in a busy loop.
 const MIN_BALANCER_TIMER: Duration = Duration::from_millis(1);
 
-/// What the balancer is to be told. Lists borrow the endpoint set, so their entries are built when
-/// they are told.
+/// An input for the balancer. The entries of a list borrow the endpoint set, so they are built only
+/// when the balancer handles the input.
 pub(super) enum BalancerInput {
     List {
         kind: ListKind,
@@ -37,12 +38,12 @@
         self.balancer_inputs.push_back(BalancerInput::Event(event));
     }
 
-    pub(super) fn notify_balancer_list(&mut self, kind: ListKind, endpoints: Vec<EndpointId>) {
+    pub(super) fn notify_balancer_of_list(&mut self, kind: ListKind, endpoints: Vec<EndpointId>) {
         self.balancer_inputs
             .push_back(BalancerInput::List { kind, endpoints });
     }
 
-    /// Tells the balancer all it is to be told, and carries out its actions.
+    /// Passes all queued inputs to the balancer and executes the resulting actions.
     pub(super) fn run_balancer(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         while let Some(input) = self.balancer_inputs.pop_front() {
@@ -61,12 +62,12 @@
                 }
             }
             for action in actions.drain(..) {
-                self.carry_out(now, action, effects);
+                self.execute_action(now, action, effects);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Timestamp, action: Action, effects: &mut Vec<Effect>) {
+    fn execute_action(&mut self, now: Timestamp, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::Send {
                 request,
@@ -75,7 +76,7 @@
             } => {
                 self.send(
                     now,
-                    &SendRequest {
+                    &SendParams {
                         request,
                         endpoint,
                         timeout,
@@ -86,7 +87,7 @@
             Action::Cancel {
                 request,
                 attempt_index,
-            } => self.cancel(now, request, attempt_index, effects),
+            } => self.cancel_attempt(now, request, attempt_index, effects),
             Action::Shed {
                 request,
                 retry_after,
@@ -99,7 +100,8 @@
             Action::CloseIdleConnections { endpoint } => {
                 effects.push(Effect::CloseIdleConnections { endpoint });
             }
-            // Discovery is watched from the first configuration on, at a pace of its own.
+            // Nothing to do: discovery is watched from the first configuration on, independently of
+            // the balancer.
             Action::Subscribe => {}
             Action::SetTimer { after } => self
                 .timers
@@ -120,7 +122,7 @@
         let response = if may_shed {
             ClientResponse::Overloaded { retry_after }
         } else {
-            self.note_denial(Denial::MayHaveRun, effects);
+            self.record_denial(Denial::MayHaveRun, effects);
             ClientResponse::Failed(Failure::NotServed)
         };
         self.respond(now, request, &response, effects);
@@ -129,7 +131,7 @@
     fn check_health(&mut self, now: Timestamp, endpoint: EndpointId, effects: &mut Vec<Effect>) {
         let check = HealthCheckId(self.next_id());
         if let Err(denial) = self.endpoints.write_permission(now, endpoint) {
-            self.note_denial(denial, effects);
+            self.record_denial(denial, effects);
             let (outcome, latency, report) = (Outcome::NotSent, Duration::ZERO, None);
             let result = HealthCheckResult {
                 endpoint,
@@ -179,9 +181,9 @@
         self.notify_balancer(api::Event::HealthChecked(result));
     }
 
-    /// Counts a decision that the rules do not permit, and warns, unless a response or the deadline
-    /// may simply have come first.
-    pub(super) fn note_denial(&mut self, denial: Denial, effects: &mut Vec<Effect>) {
+    /// Counts a decision that the rules denied, and logs a warning unless a response or the
+    /// deadline may just have come first.
+    pub(super) fn record_denial(&mut self, denial: Denial, effects: &mut Vec<Effect>) {
         let count = self.denials.entry(denial).or_default();
         *count += 1;
         if !matches!(denial, Denial::RequestDone | Denial::DeadlinePassed) {
--- a/crates/core/src/reducer/endpoint_list.rs
+++ b/crates/core/src/reducer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, the leases on it, and whether the dispatcher is ready.
+//! Updates of the endpoint list, its leases, and the readiness of the dispatcher.
 
 use super::timers::Timer;
 use crate::endpoints::AppliedUpdate;
@@ -7,12 +7,12 @@
 use pumiceway_decisions::rules::LeaseTerms;
 use std::time::Duration;
 
-/// A dispatcher whose list nobody confirms reports that it is ready after this time all the same.
-/// It then sheds every request, and is not taken for one that failed to start.
-const READY_WITHOUT_LIST: Duration = Duration::from_secs(5);
+/// A dispatcher whose endpoint list is not confirmed within this time reports that it is ready
+/// nevertheless. It then sheds every request, but is not treated as one that failed to start.
+const READY_WITHOUT_LIST_AFTER: Duration = Duration::from_secs(5);
 
 impl Core {
-    pub(super) fn on_list_updated(
+    pub(super) fn on_endpoint_list_updated(
         &mut self,
         now: Timestamp,
         source: EndpointSource,
@@ -31,7 +31,7 @@
                 expires_at,
             });
         }
-        self.announce_update(now, applied, effects);
+        self.notify_of_update(now, applied, effects);
     }
 
     pub(super) fn on_previous_source_updated(
@@ -42,7 +42,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let applied = self.apply_update(source, update);
-        self.announce_update(now, applied, effects);
+        self.notify_of_update(now, applied, effects);
     }
 
     pub(super) fn on_lease_required(&mut self, now: Timestamp, source: EndpointSource) {
@@ -50,7 +50,7 @@
             .set_lease_terms(now, source, LeaseTerms::for_session());
     }
 
-    /// Watches discovery at its new address. A watch at the same address stays as it is.
+    /// Watches discovery at the configured address, unless that address is already watched.
     pub(super) fn on_discovery_configured(
         &mut self,
         now: Timestamp,
@@ -64,7 +64,7 @@
         };
         if self.discovery.is_none() {
             self.timers
-                .set(now + READY_WITHOUT_LIST, Timer::ReadyWithoutList);
+                .set(now + READY_WITHOUT_LIST_AFTER, Timer::ReadyWithoutList);
         }
         let terms = LeaseTerms::for_discovery(&self.settings);
         self.endpoints
@@ -81,7 +81,7 @@
         source: EndpointSource,
         update: EndpointListUpdate,
     ) -> AppliedUpdate {
-        // The decisions remember each attempt of a request for as long as the request is open here.
+        // The balancer keeps the attempts of a request for as long as the core keeps the request.
         let in_use = || {
             let attempts = self.requests.values().flat_map(|request| &request.attempts);
             let checked = self.health_checks.values().map(|check| check.endpoint);
@@ -93,7 +93,7 @@
         self.endpoints.apply(source, update, in_use)
     }
 
-    fn announce_update(
+    fn notify_of_update(
         &mut self,
         now: Timestamp,
         applied: AppliedUpdate,
@@ -102,13 +102,13 @@
         for endpoint in applied.reassigned {
             effects.push(Effect::CloseIdleConnections { endpoint });
         }
-        self.notify_balancer_list(applied.kind, applied.endpoints);
-        self.review_leases(now, effects);
+        self.notify_balancer_of_list(applied.kind, applied.endpoints);
+        self.refresh_leases(now, effects);
     }
 
-    /// Tells the decisions where a list may be used from now on, or may not any more.
-    pub(super) fn review_leases(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
-        let Some(listed) = self.endpoints.review_leases(now) else {
+    /// Updates which lists have a valid lease, and notifies the balancer if that has changed.
+    pub(super) fn refresh_leases(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
+        let Some(listed) = self.endpoints.refresh_leases(now) else {
             return;
         };
         let has_valid_lease = self.endpoints.has_valid_lease(now);
@@ -117,7 +117,7 @@
                 endpoints: listed.len(),
             }));
         }
-        self.notify_balancer_list(ListKind::Snapshot, listed);
+        self.notify_balancer_of_list(ListKind::Snapshot, listed);
         if has_valid_lease {
             self.report_ready(effects);
         }
@@ -125,7 +125,7 @@
 
     pub(super) fn set_lease_timer(&mut self, now: Timestamp) {
         self.timers
-            .set_lease_unless_set(self.endpoints.next_lease_expiry(now));
+            .set_lease_if_unset(self.endpoints.next_lease_expiry(now));
     }
 
     pub(super) fn report_ready(&mut self, effects: &mut Vec<Effect>) {
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -1,13 +1,14 @@
-//! The reducer: every change of state, one module for each part of it.
+//! The reducer: applies events to the state of the dispatcher and returns the resulting effects.
+//! Each submodule owns one part of the state.
 //!
 //! | module | state |
 //! | --- | --- |
 //! | [`requests`] | open requests, from submission to the final response |
-//! | [`attempts`] | attempts in flight, from the send to their one outcome |
-//! | [`endpoint_list`] | the endpoint list, the leases on it, and readiness |
-//! | [`balancer`] | the decisions: what they are told, and what they want done |
-//! | [`timers`] | timers, of which the host keeps the next one only |
-//! | [`shutdown`] | the shutdown and its schedule |
+//! | [`attempts`] | attempts in flight, from sending to their single outcome |
+//! | [`endpoint_list`] | the endpoint list, its leases, and readiness |
+//! | [`balancer`] | balancer inputs, execution of balancer actions, and health checks |
+//! | [`timers`] | pending timers, of which the event loop keeps only the earliest |
+//! | [`shutdown`] | the shutdown phase and its schedule |
 
 mod attempts;
 mod balancer;
@@ -34,51 +35,53 @@
 use std::time::Duration;
 use timers::Timers;
 
-/// Back-off for clients that the core sheds itself, without the decisions; never longer than
-/// clients heed.
+/// Back-off for requests that the core sheds without asking the balancer; capped at
+/// [`Settings::max_retry_after`], the longest back-off that clients honor.
 const CORE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of a dispatcher.
+/// The state machine of a dispatcher: takes [`Event`]s and returns [`Effect`]s.
 pub struct Core {
     settings: Settings,
     timers: Timers,
     shutdown: Shutdown,
-    /// Of requests, attempts and health checks.
+    /// The last id assigned; requests, attempts and health checks share one sequence.
     last_id: u64,
 
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// Clients that wait, by handle.
+    /// The request that each waiting client waits for.
     waiting: HashMap<RequestHandle, RequestId>,
-    /// Open requests by the id that their client gave them.
+    /// Open requests by the request id that the client assigned.
     request_ids: HashMap<String, RequestId>,
     consumed_ids: ConsumedIds,
     cache: IdempotencyCache,
-    /// For requests that the core sheds itself; `None` where clients are told no back-off.
+    /// Back-off for requests that the core sheds itself; `None` if the settings disable
+    /// Retry-After.
     retry_after: Option<Duration>,
 
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Until then, idle connections are not trusted with requests that must not run twice.
-    distrust_idle_until: Timestamp,
+    /// Until this time, non-idempotent requests are not sent on idle connections.
+    avoid_idle_connections_until: Timestamp,
 
     endpoints: EndpointSet,
-    /// Address of the discovery service.
+    /// Address of the discovery service that is watched.
     discovery: Option<String>,
+    /// Whether [`Effect::ReportReady`] has been returned.
     is_ready: bool,
 
     balancer: Balancer,
-    /// What the balancer is still to be told.
+    /// Inputs that the balancer has not handled yet.
     balancer_inputs: VecDeque<BalancerInput>,
     health_checks: BTreeMap<HealthCheckId, InFlightHealthCheck>,
-    /// Decisions that the rules did not permit, and that were not carried out.
+    /// Number of balancer decisions that the rules denied, by reason.
     denials: BTreeMap<Denial, u64>,
 }
 
 impl Core {
-    /// A core that knows no endpoint yet; `seed` drives the random choices of the decisions.
+    /// Creates a core without endpoints; `seed` seeds the balancer's random choices.
     ///
     /// # Errors
     ///
-    /// Settings that cannot work; see [`Settings::validate`].
+    /// Returns an error if the settings are invalid; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64, retention: Retention) -> Result<Core, SettingsError> {
         let balancer = Balancer::new(settings.clone(), seed)?;
         Ok(Core {
@@ -94,7 +97,7 @@
                 .retry_after
                 .then_some(CORE_RETRY_AFTER.min(settings.max_retry_after)),
             attempts: BTreeMap::new(),
-            distrust_idle_until: Timestamp::ORIGIN,
+            avoid_idle_connections_until: Timestamp::ORIGIN,
             endpoints: EndpointSet::default(),
             discovery: None,
             is_ready: false,
@@ -106,11 +109,12 @@
         })
     }
 
-    /// Takes one event in, and returns what is to be done, in this order.
+    /// Applies one event and returns its effects, which must be performed in this order.
     pub fn reduce(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // First, as a lease that has ended by now permits nothing that the event would start.
-        self.review_leases(now, &mut effects);
+        // Before the event is applied: a lease that has expired by now must not permit an attempt
+        // or a health check that the event triggers.
+        self.refresh_leases(now, &mut effects);
         self.apply(now, event, &mut effects);
         self.run_balancer(now, &mut effects);
         self.exit_if_drained(&mut effects);
@@ -122,7 +126,7 @@
     fn apply(&mut self, now: Timestamp, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::RequestSubmitted { handle, request } => {
-                self.on_submitted(now, handle, request, effects);
+                self.on_request_submitted(now, handle, request, effects);
             }
             Event::ClientDisconnected { handle } => self.on_client_disconnected(now, handle),
             Event::AttemptUpdated { attempt, update } => {
@@ -148,7 +152,7 @@
                 as_of,
                 update,
             } => {
-                self.on_list_updated(now, source, as_of, update, effects);
+                self.on_endpoint_list_updated(now, source, as_of, update, effects);
             }
             Event::PreviousSourceUpdated { source, update } => {
                 self.on_previous_source_updated(now, source, update, effects);
@@ -168,11 +172,11 @@
             }
             Event::TimerFired => self.on_timer_fired(now, effects),
             Event::ShutdownRequested => self.on_shutdown_requested(now),
-            Event::FrontendsClosed => self.shutdown.note_frontends_closed(),
+            Event::FrontendsClosed => self.shutdown.record_frontends_closed(),
         }
     }
 
-    /// The state at this moment, for operators.
+    /// Returns the current state, for operators.
     pub fn overview(&self) -> Overview {
         let mut classes = vec![ClassOverview::default(); self.settings.classes.len()];
         for request in self.requests.values().filter(|request| !request.is_done) {
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -1,7 +1,7 @@
 //! Open requests, from their submission to their final response.
 //!
-//! A request is kept until it is done and has no attempt in flight. Clients that send a request
-//! again join the open one, by its unique id or by its request id with the same content.
+//! A request is kept until it is done and has no attempt in flight. A client that sends a request
+//! again joins the open one: by its unique id, or by its request id if the content is the same.
 
 use super::attempts::ATTEMPT_MARGIN;
 use super::timers::Timer;
@@ -16,20 +16,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The final response is given this long before the client's deadline, as it has to arrive before
-/// it. Attempts end 15 ms earlier, so that the decisions can still choose the response.
+/// The final response is sent this long before the client's deadline so that it arrives in time.
+/// Attempts time out 15 ms earlier, so that the balancer can still choose the response.
 const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
-/// A request until it is over.
+/// A request that is not done or still has an attempt in flight.
 pub(super) struct OpenRequest {
     pub(super) class: ClassId,
     pub(super) deadline: Timestamp,
     pub(super) job: Arc<Job>,
     unique_id: Option<UniqueId>,
-    /// The clients that wait for its response.
+    /// The clients that wait for the response.
     pub(super) handles: Vec<RequestHandle>,
     pub(super) attempts: Vec<AttemptRecord>,
-    /// It has its final response, or nobody waits for one.
+    /// The final response has been sent, or no client waits for one.
     pub(super) is_done: bool,
 }
 
@@ -40,27 +40,29 @@
             .any(|attempt| attempt.execution == Execution::InFlight)
     }
 
-    /// Whether an attempt may have had an effect, or may yet.
+    /// Whether any attempt may have run or may still run.
     fn may_have_run(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.execution != Execution::NeverRan)
     }
 
-    /// Whether a request with the same request id is the same request, sent again.
-    fn is_repeated_by(&self, request: &ClientRequest) -> bool {
+    /// Whether a submission under the same request id repeats this open request: neither has a
+    /// unique id, and class and job are equal.
+    fn is_repeat(&self, request: &ClientRequest) -> bool {
         let without_unique_id = self.unique_id.is_none() && request.unique_id.is_none();
         without_unique_id && !self.is_done && self.class == request.class && self.job == request.job
     }
 }
 
-/// The time at which a response is owed at once.
-fn respond_at(deadline: Timestamp) -> Timestamp {
+/// When a request with this deadline must get its final response.
+fn final_response_at(deadline: Timestamp) -> Timestamp {
     deadline.saturating_sub(FINAL_RESPONSE_MARGIN)
 }
 
-/// How long the id of a request that may have run is remembered: for as long as a client may wait
-/// for its response, or endpoints recognise a repeat. `None`: it may run any number of times.
+/// How long the id of a request that may have run is remembered: while a client may wait for its
+/// response, and for keyed classes also while endpoints deduplicate repeats. `None` for idempotent
+/// classes, which may run any number of times.
 fn consumed_id_lifetime(class: &Class) -> Option<Duration> {
     match class.idempotency {
         Idempotency::Idempotent => None,
@@ -70,7 +72,7 @@
 }
 
 impl Core {
-    pub(super) fn on_submitted(
+    pub(super) fn on_request_submitted(
         &mut self,
         now: Timestamp,
         handle: RequestHandle,
@@ -80,7 +82,7 @@
         if let Some(unique_id) = &request.unique_id {
             match self.cache.look_up(now, unique_id) {
                 Lookup::New => {}
-                Lookup::Running(running) => return self.join_running(running, handle),
+                Lookup::Running(running) => return self.join_by_unique_id(running, handle),
                 Lookup::Cached(response) => {
                     return effects.push(Effect::Respond { handle, response });
                 }
@@ -92,28 +94,29 @@
                 }
             }
         }
-        let remaining = self.bounded_remaining(&request);
+        let remaining = self.limited_remaining(&request);
         let deadline = self.shutdown.deadline(now, remaining);
         if let Some(&open) = self.request_ids.get(&request.job.id) {
-            self.join_repeated(open, handle, &request, deadline, effects);
+            self.join_by_request_id(open, handle, &request, deadline, effects);
         } else if self.consumed_ids.contains(now, &request.job.id) {
             let response = ClientResponse::Failed(Failure::MayHaveRunBefore);
             effects.push(Effect::Respond { handle, response });
         } else {
-            self.open(handle, request, remaining, deadline);
+            self.open_request(handle, request, remaining, deadline);
         }
     }
 
-    /// A client that would wait for longer than its class allows would make all others look as if
-    /// they had waited.
-    fn bounded_remaining(&self, request: &ClientRequest) -> Duration {
+    /// The remaining time, limited to the deadline of the class. The balancer derives the age of a
+    /// request from the longest remaining time it has seen: a longer one would make all later
+    /// requests look as if they had been sent long ago.
+    fn limited_remaining(&self, request: &ClientRequest) -> Duration {
         let class = self.settings.classes.get(request.class.0);
         class.map_or(request.remaining, |class| {
             request.remaining.min(class.deadline)
         })
     }
 
-    fn open(
+    fn open_request(
         &mut self,
         handle: RequestHandle,
         request: ClientRequest,
@@ -126,13 +129,13 @@
             self.cache.begin(unique_id.clone(), id);
         }
         self.timers
-            .set(respond_at(deadline), Timer::RequestDeadline(id));
+            .set(final_response_at(deadline), Timer::RequestDeadline(id));
         self.waiting.insert(handle, id);
         self.notify_balancer(api::Event::RequestArrived(IncomingRequest {
             request: id,
             class: request.class,
-            // The whole time, also during a shutdown: a shorter one would look like a request sent
-            // again.
+            // Not shortened by a shutdown: the balancer would take a shorter time for that of a
+            // request that was sent again.
             remaining: remaining.saturating_sub(ATTEMPT_MARGIN),
             slots: request.slots,
             memory: request.memory,
@@ -152,16 +155,17 @@
         self.requests.insert(id, open);
     }
 
-    /// A client that lost its connection sends its request again.
-    fn join_running(&mut self, id: RequestId, handle: RequestHandle) {
+    /// Adds a client that sends a running request again under its unique id.
+    fn join_by_unique_id(&mut self, id: RequestId, handle: RequestHandle) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.handles.push(handle);
             self.waiting.insert(handle, id);
         }
     }
 
-    /// A request id is submitted that is open: the same request joins it, another one is rejected.
-    fn join_repeated(
+    /// Handles a submission under the request id of an open request: a repeat joins that request,
+    /// any other request is rejected.
+    fn join_by_request_id(
         &mut self,
         id: RequestId,
         handle: RequestHandle,
@@ -172,25 +176,27 @@
         let request = self
             .requests
             .get_mut(&id)
-            .filter(|request| request.is_repeated_by(repeat));
+            .filter(|request| request.is_repeat(repeat));
         let Some(request) = request else {
             let response = ClientResponse::Rejected(Rejection::IdInUse);
             return effects.push(Effect::Respond { handle, response });
         };
         request.handles.push(handle);
         self.waiting.insert(handle, id);
-        // The client that waits for the shortest time has to get its response in time.
+        // The earliest deadline of all waiting clients applies.
         if deadline < request.deadline {
+            self.timers.cancel(
+                final_response_at(request.deadline),
+                Timer::RequestDeadline(id),
+            );
             self.timers
-                .cancel(respond_at(request.deadline), Timer::RequestDeadline(id));
-            self.timers
-                .set(respond_at(deadline), Timer::RequestDeadline(id));
+                .set(final_response_at(deadline), Timer::RequestDeadline(id));
             request.deadline = deadline;
         }
     }
 
-    /// Without a unique id nobody can ask for the response any more; with one, the request goes on
-    /// for whoever sends it again.
+    /// Finishes the request once its last client has disconnected, unless it has a unique id: then
+    /// it goes on, as a client may still ask for the response by that id.
     pub(super) fn on_client_disconnected(&mut self, now: Timestamp, handle: RequestHandle) {
         let Some(id) = self.waiting.remove(&handle) else {
             return;
@@ -200,8 +206,8 @@
         };
         request.handles.retain(|waiting| *waiting != handle);
         if request.handles.is_empty() && request.unique_id.is_none() && !request.is_done {
-            self.consume_id(now, id);
-            self.finish(id);
+            self.remember_consumed_id(now, id);
+            self.finish_request(id);
             self.notify_balancer(api::Event::ClientDisconnected { request: id });
         }
     }
@@ -212,16 +218,16 @@
         id: RequestId,
         effects: &mut Vec<Effect>,
     ) {
-        // The decisions say whether it is shed or has failed.
+        // The balancer decides whether the request is shed or fails.
         self.notify_balancer(api::Event::DeadlineReached { request: id });
         self.run_balancer(now, effects);
-        // Whatever they say, the client gets a response.
+        // Fallback, in case the balancer gave no response.
         let response = ClientResponse::Failed(Failure::NotServed);
         self.respond(now, id, &response, effects);
         self.notify_balancer(api::Event::ClientDisconnected { request: id });
     }
 
-    /// Gives all clients of a request their final response, unless they have one.
+    /// Sends the final response to all clients of a request, unless the request is already done.
     pub(super) fn respond(
         &mut self,
         now: Timestamp,
@@ -246,19 +252,19 @@
                 response: response.clone(),
             });
         }
-        // After any other response, a retry is harmless.
+        // After `Overloaded` or `Rejected` a retry is harmless, so the id stays usable.
         if matches!(
             response,
             ClientResponse::Served(_) | ClientResponse::Failed(_)
         ) {
-            self.consume_id(now, id);
+            self.remember_consumed_id(now, id);
         }
-        self.finish(id);
+        self.finish_request(id);
     }
 
-    /// Remembers the id of a request that is over and may have run, unless its class may run any
-    /// number of times.
-    fn consume_id(&mut self, now: Timestamp, id: RequestId) {
+    /// Remembers the id of a done request that may have run, so that it does not run again, unless
+    /// its class is idempotent.
+    fn remember_consumed_id(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -271,21 +277,24 @@
         }
     }
 
-    /// No response is owed for the request any more.
-    fn finish(&mut self, id: RequestId) {
+    /// Marks a request as done and cancels its deadline timer.
+    fn finish_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_done = true;
-            self.timers
-                .cancel(respond_at(request.deadline), Timer::RequestDeadline(id));
+            self.timers.cancel(
+                final_response_at(request.deadline),
+                Timer::RequestDeadline(id),
+            );
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Forgets a request that is done and has no attempt in flight. Not before: where attempts
-    /// cannot be cancelled, its id could be sent twice at once.
-    pub(super) fn forget_if_over(&mut self, id: RequestId) {
-        let is_over = |request: &OpenRequest| request.is_done && !request.has_attempt_in_flight();
-        if self.requests.get(&id).is_some_and(is_over)
+    /// Removes a request that is done and has no attempt in flight. If it were removed earlier, its
+    /// id could be in flight twice where attempts cannot be cancelled.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished =
+            |request: &OpenRequest| request.is_done && !request.has_attempt_in_flight();
+        if self.requests.get(&id).is_some_and(is_finished)
             && let Some(request) = self.requests.remove(&id)
         {
             self.request_ids.remove(&request.job.id);
--- a/crates/core/src/reducer/shutdown.rs
+++ b/crates/core/src/reducer/shutdown.rs
@@ -1,40 +1,41 @@
 //! The shutdown, from the signal to the exit.
 //!
-//! The supervisor may force the end (SIGKILL), at a time after the signal that follows from the
-//! longest deadline. The schedule is laid out before that end; with a longest deadline of 3 s or
-//! more:
+//! The supervisor may kill the process (SIGKILL) some time after the signal; how long depends on
+//! the longest deadline of all classes. The schedule ends before the kill. With a longest deadline
+//! of 3 s or more:
 //!
 //! | time after the signal | what happens |
 //! | --- | --- |
-//! | 0 s | the dispatcher goes on accepting and serving, for clients that have not heard of the shutdown |
-//! | 0.6 s | requests that arrive from now on get their response within the schedule, whatever their deadline |
+//! | 0 s | the dispatcher still accepts and serves requests, as clients may not know of the shutdown yet |
+//! | 0.6 s | requests that arrive from now on get their response within the schedule, even if their deadline is later |
 //! | 2.0 s | the frontends close: no new connections, and idle ones are closed |
-//! | 3.4 s | all requests that arrived after 0.6 s have their responses |
-//! | 3.7 s | the end may be forced |
+//! | 3.4 s | all requests that arrived after 0.6 s have got their responses |
+//! | 3.7 s | earliest SIGKILL |
 //!
-//! The process exits once the frontends are closed and no client waits.
+//! The process exits as soon as the frontends are closed and no client waits for a response.
 
 use super::timers::Timer;
 use crate::{Core, Effect};
 use pumiceway_decisions::api::{Settings, Timestamp};
 use std::time::Duration;
 
-/// Clients that have not heard of the shutdown still come for this long.
+/// Requests that arrive within this time of the signal keep their deadline, as clients may not know
+/// of the shutdown yet.
 const LATE_REQUEST_AFTER: Duration = Duration::from_millis(600);
-/// The end is forced no sooner than this long after the longest deadline ...
-const FORCED_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// ... of which no more than this counts.
-const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// The frontends close this long before the forced end. Not earlier: while another dispatcher
-/// restarts there may be no other to go to.
-const CLOSE_BEFORE_END: Duration = Duration::from_millis(1_700);
-/// Responses are given this long before the forced end.
-const RESPOND_BEFORE_END: Duration = Duration::from_millis(300);
+/// The supervisor waits at least this much longer than the longest deadline before SIGKILL ...
+const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+/// ... but counts at most this much of the longest deadline.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// The frontends close this long before SIGKILL. Not earlier: while another dispatcher restarts,
+/// clients may have no other dispatcher to connect to.
+const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1_700);
+/// Requests that arrive late get their responses at least this long before SIGKILL.
+const RESPOND_BEFORE_KILL: Duration = Duration::from_millis(300);
 
-/// Times of a shutdown after the signal.
+/// The times of a shutdown, relative to the signal.
 #[derive(Clone, Copy)]
 struct Schedule {
-    /// Requests that arrive later than this get their response by `respond_by`.
+    /// Requests that arrive later than this have a deadline of `respond_by` at the latest.
     late_request_after: Duration,
     close_frontends_after: Duration,
     respond_by: Duration,
@@ -48,13 +49,13 @@
             .map(|class| class.deadline)
             .max()
             .unwrap_or_default();
-        let forced_end = FORCED_AFTER_DEADLINE + longest_deadline.min(MAX_DEADLINE);
+        let kill_after = KILL_AFTER_DEADLINE + longest_deadline.min(MAX_COUNTED_DEADLINE);
         Schedule {
             late_request_after: LATE_REQUEST_AFTER,
-            close_frontends_after: forced_end
-                .saturating_sub(CLOSE_BEFORE_END)
+            close_frontends_after: kill_after
+                .saturating_sub(CLOSE_BEFORE_KILL)
                 .max(LATE_REQUEST_AFTER),
-            respond_by: forced_end.saturating_sub(RESPOND_BEFORE_END),
+            respond_by: kill_after.saturating_sub(RESPOND_BEFORE_KILL),
         }
     }
 }
@@ -62,22 +63,25 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
-    /// The signal came at this time; the frontends are still open.
+    /// The signal has arrived; the frontends are still open.
     Draining {
+        /// When the signal arrived.
         since: Timestamp,
     },
-    /// The frontends are closing.
+    /// The frontends are closing or closed.
     Closing {
+        /// When the signal arrived.
         since: Timestamp,
     },
     Exited,
 }
 
-/// The shutdown of a dispatcher.
+/// The state of the shutdown.
 pub(super) struct Shutdown {
     schedule: Schedule,
     phase: Phase,
-    /// The frontends may close before they are told to.
+    /// Tracked separately from the phase, as the frontends may close before
+    /// [`Effect::CloseFrontends`].
     frontends_closed: bool,
 }
 
@@ -90,11 +94,12 @@
         }
     }
 
-    pub(super) fn note_frontends_closed(&mut self) {
+    pub(super) fn record_frontends_closed(&mut self) {
         self.frontends_closed = true;
     }
 
-    /// The deadline of a request that arrives now with this time remaining.
+    /// The deadline of a request that arrives now with this remaining time; shortened for requests
+    /// that arrive late in a shutdown.
     pub(super) fn deadline(&self, now: Timestamp, remaining: Duration) -> Timestamp {
         let deadline = now + remaining;
         match self.phase {
@@ -109,7 +114,7 @@
 }
 
 impl Core {
-    /// A second request to shut down changes nothing.
+    /// Starts the shutdown; repeated requests have no effect.
     pub(super) fn on_shutdown_requested(&mut self, now: Timestamp) {
         if self.shutdown.phase == Phase::Serving {
             self.shutdown.phase = Phase::Draining { since: now };
--- a/crates/core/src/reducer/timers.rs
+++ b/crates/core/src/reducer/timers.rs
@@ -1,35 +1,36 @@
-//! Timers. The host keeps the next one only: whenever it changes, the host is told.
+//! Pending timers. The event loop keeps a single timer, for the earliest of them;
+//! [`Effect::SetTimer`] moves it whenever the earliest one changes.
 
 use crate::{AttemptId, Core, Effect};
 use pumiceway_decisions::api::{self, RequestId, Timestamp};
 use std::collections::BTreeSet;
 
-/// What is due. Timers of the same time fire in this order.
+/// The kinds of timers. Timers that are due at the same time fire in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// An attempt is no longer waited for.
+    /// An attempt times out.
     AttemptTimeout(AttemptId),
-    /// A response is owed at once.
+    /// A request must get its final response.
     RequestDeadline(RequestId),
-    /// The decisions have asked for it.
+    /// Requested by the balancer ([`Action::SetTimer`](api::Action::SetTimer)).
     Balancer,
-    /// The frontends are to close.
+    /// The frontends must close.
     CloseFrontends,
-    /// A lease may have ended.
+    /// A lease may have expired.
     Lease,
-    /// The process reports that it is ready even without an endpoint list.
+    /// The dispatcher reports that it is ready even without a confirmed endpoint list.
     ReadyWithoutList,
 }
 
-/// All timers that are set.
+/// All pending timers.
 #[derive(Default)]
 pub(super) struct Timers {
     entries: BTreeSet<(Timestamp, Timer)>,
-    /// The timer of the decisions, of which there is one at most.
+    /// When the balancer's timer fires; there is at most one.
     balancer_at: Option<Timestamp>,
-    /// The timer of the leases, likewise.
+    /// When the lease timer fires; there is at most one.
     lease_at: Option<Timestamp>,
-    /// The timer that the host keeps.
+    /// When the event loop's timer fires.
     armed_at: Option<Timestamp>,
 }
 
@@ -42,7 +43,7 @@
         self.entries.remove(&(at, timer));
     }
 
-    /// Sets the timer of the decisions, in place of any earlier one.
+    /// Sets the balancer's timer, replacing any earlier one.
     pub(super) fn set_balancer(&mut self, at: Timestamp) {
         if let Some(earlier) = self.balancer_at.replace(at) {
             self.cancel(earlier, Timer::Balancer);
@@ -50,21 +51,21 @@
         self.set(at, Timer::Balancer);
     }
 
-    /// Sets the timer of the leases unless one is set; a lease that is renewed meanwhile is looked
-    /// at again then.
-    pub(super) fn set_lease_unless_set(&mut self, at: Option<Timestamp>) {
+    /// Sets the lease timer unless it is already set. If the lease is renewed before the timer
+    /// fires, the timer finds nothing expired and is set again.
+    pub(super) fn set_lease_if_unset(&mut self, at: Option<Timestamp>) {
         if self.lease_at.is_none() {
             self.lease_at = at;
             self.entries.extend(at.map(|at| (at, Timer::Lease)));
         }
     }
 
-    /// The timer of the host has fired, so it is no longer set.
+    /// Records that the event loop's timer has fired and is no longer set.
     fn disarm(&mut self) {
         self.armed_at = None;
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the earliest timer if it is due.
     fn pop_due(&mut self, now: Timestamp) -> Option<Timer> {
         let (at, timer) = *self.entries.first().filter(|(at, _)| *at <= now)?;
         self.entries.remove(&(at, timer));
@@ -76,7 +77,7 @@
         Some(timer)
     }
 
-    /// Has the host set its timer, if the next one has changed.
+    /// Has the event loop set its timer if the earliest pending timer has changed.
     pub(super) fn arm(&mut self, effects: &mut Vec<Effect>) {
         let next = self.entries.first().map(|(at, _)| *at);
         if let Some(at) = next.filter(|_| next != self.armed_at) {
@@ -95,7 +96,7 @@
                 Timer::RequestDeadline(request) => self.on_request_deadline(now, request, effects),
                 Timer::Balancer => self.notify_balancer(api::Event::TimerFired),
                 Timer::CloseFrontends => self.close_frontends(effects),
-                Timer::Lease => self.review_leases(now, effects),
+                Timer::Lease => self.refresh_leases(now, effects),
                 Timer::ReadyWithoutList => self.report_ready(effects),
             }
             self.run_balancer(now, effects);
