--- a/crates/core/src/endpoints/leases.rs
+++ b/crates/core/src/endpoints/leases.rs
@@ -1,4 +1,4 @@
-//! The leases on the lists of all sources.
+//! The leases on the endpoint lists, one for each source.
 
 use super::EndpointSource;
 use pumiceway_decisions::api::Timestamp;
@@ -31,7 +31,7 @@
 }
 
 impl PerSource<Lease> {
-    /// Which of the leases are valid.
+    /// For each source, whether its lease is valid.
     pub(crate) fn valid(&self, now: Timestamp) -> PerSource<bool> {
         PerSource {
             discovery: self.discovery.is_valid(now),
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Whether any of the leases is valid.
+    /// Whether the lease of any source is valid.
     pub(crate) fn any_valid(&self, now: Timestamp) -> bool {
         self.all().iter().any(|lease| lease.is_valid(now))
     }
 
-    /// When the next of the valid leases ends unless it is renewed.
+    /// When the first of the valid leases expires unless it is renewed.
     pub(crate) fn next_expiry(&self, now: Timestamp) -> Option<Timestamp> {
         let valid = self.all().into_iter().filter(|lease| lease.is_valid(now));
         valid.filter_map(|lease| lease.expires_at()).min()
--- a/crates/core/src/endpoints/list.rs
+++ b/crates/core/src/endpoints/list.rs
@@ -1,4 +1,4 @@
-//! Endpoints and the updates that their sources send.
+//! Endpoints, and the endpoint list updates that their sources send.
 
 use pumiceway_decisions::api::{EndpointState, KindId, Timestamp, ZoneId};
 use pumiceway_decisions::rules::LeaseSignal;
@@ -7,9 +7,9 @@
 /// Where to reach an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointAddress {
-    /// At this `host:port`.
+    /// A network address as `host:port`.
     Network(String),
-    /// At the other end of this session, which the endpoint has opened itself.
+    /// The session with this number, which the endpoint has opened to the dispatcher.
     Session(u64),
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Who lists endpoints. The list of one source says nothing about another's.
+/// A source of endpoint lists. The lists of different sources are independent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointSource {
     /// The discovery service.
@@ -36,50 +36,52 @@
 /// An endpoint as its source lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, the same wherever it is.
+    /// Unique name, independent of the address.
     pub name: String,
-    /// Where it is; may change.
+    /// Current address; may change.
     pub address: EndpointAddress,
-    /// Its zone.
+    /// Zone.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// Machine kind.
     pub kind: KindId,
-    /// Its cell: the endpoints that share what they know of idempotency keys.
+    /// Cell, if any: endpoints of the same cell share their records of idempotency keys.
     pub cell: Option<u64>,
-    /// Its state.
+    /// State on the list of the source.
     pub state: EndpointState,
-    /// When its process last started; [`Timestamp::ORIGIN`] for long ago.
+    /// When the process of the endpoint last started; [`Timestamp::ORIGIN`] for long ago.
     pub started_at: Timestamp,
-    /// Its size beside other endpoints, without a unit; 0 where it is not known.
+    /// Size relative to other endpoints, without a unit; 0 if unknown.
     pub relative_size: f64,
-    /// It has all its capacity from its start on.
+    /// The endpoint has its full capacity from the start.
     pub skips_slow_start: bool,
-    /// Requests that it takes at a time, where it keeps no queue of its own.
+    /// Maximum number of concurrent requests, for endpoints that keep no queue of their own.
     pub max_concurrent: Option<u32>,
 }
 
-/// What a source sends, or what has become of it.
+/// An update from a source, or the loss of the source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListUpdate {
     /// The whole list.
     Snapshot(Vec<Endpoint>),
-    /// The whole list, at a version before one that the source has sent: it lags behind itself, or
-    /// counts anew after a restart of its own.
+    /// The whole list, at an older version than the source has sent before: the source lags behind,
+    /// or has restarted its version count.
     OutdatedSnapshot(Vec<Endpoint>),
-    /// The whole list as it was before a restart of ours; may be out of date.
+    /// The whole list as known before this dispatcher restarted; may be out of date.
     Bootstrap(Vec<Endpoint>),
     /// The endpoints that have changed.
     Delta(Vec<Endpoint>),
-    /// The endpoints that have changed since an outdated list.
+    /// The endpoints that have changed since an [outdated
+    /// snapshot](EndpointListUpdate::OutdatedSnapshot).
     OutdatedDelta(Vec<Endpoint>),
     /// Nothing has changed.
     Unchanged,
-    /// The source cannot be reached; its list stands for as long as its lease.
+    /// The source cannot be reached; its list stays in use until its lease expires.
     Lost(LeaseSignal),
 }
 
 impl EndpointListUpdate {
-    /// What the update says about the lease; `None` where it is not the source's own word.
+    /// The lease signal of the update; `None` for a bootstrap list, which does not come from the
+    /// source.
     pub(crate) fn lease_signal(&self) -> Option<LeaseSignal> {
         match self {
             EndpointListUpdate::Bootstrap(_) => None,
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -1,9 +1,8 @@
-//! The endpoint set: endpoints as their sources list them, under the handles that the decisions
-//! use.
+//! The endpoint set: the endpoints of all sources, under the ids that the balancer uses.
 //!
-//! Each source has a list and a lease on it. An endpoint keeps its handle for as long as it is
-//! listed under the same name, and for a long time after; the handle of one that has long been gone
-//! is given to a new name.
+//! Each source has a list and a lease on it. An endpoint keeps its id while it is listed under the
+//! same name, and also once it is gone, unless at least [`MAX_GONE_ENDPOINTS`] endpoints have left
+//! after it: then its id may be reassigned to a new name.
 
 mod leases;
 mod list;
@@ -17,45 +16,46 @@
 use pumiceway_decisions::rules::{self, Denial, Lease, LeaseSignal, LeaseTerms};
 use std::collections::{HashMap, HashSet};
 
-/// This many endpoints that are gone are remembered, far more than leave while a list may lag
-/// behind: without a bound, memory would grow with each start of an endpoint under a new name.
-const MAX_GONE: usize = 1_024;
+/// How many gone endpoints keep their ids: far more than leave while a list may be outdated.
+/// Without a bound, memory would grow whenever an endpoint starts under a new name.
+const MAX_GONE_ENDPOINTS: usize = 1_024;
 
-/// All endpoints, of all sources.
+/// The endpoints of all sources.
 #[derive(Default)]
 pub(crate) struct EndpointSet {
-    /// By handle.
-    rows: Vec<Row>,
+    /// Indexed by endpoint id.
+    records: Vec<EndpointRecord>,
+    /// Endpoint ids by name.
     ids: HashMap<String, EndpointId>,
-    /// Endpoints that a list which was up to date has shown as draining or gone.
-    departed: HashSet<EndpointId>,
-    /// Updates that were applied.
+    /// Endpoints that an up-to-date list has shown as draining or gone.
+    withdrawn: HashSet<EndpointId>,
+    /// Number of updates applied.
     update_count: u64,
     leases: PerSource<Lease>,
-    /// Which of the leases were valid when the decisions were last told.
-    usable: PerSource<bool>,
+    /// Which leases were valid when the balancer was last notified.
+    lists_usable: PerSource<bool>,
 }
 
-/// What a handle stands for.
-struct Row {
+/// The endpoint that an id stands for.
+struct EndpointRecord {
     source: EndpointSource,
     endpoint: Endpoint,
-    /// The update with which it was first gone; `None` while it is not, and while that update is
-    /// applied.
+    /// Number of the update with which the endpoint became gone. `None` if it is not gone, and
+    /// until that update has been applied in full.
     gone_at_update: Option<u64>,
 }
 
-/// What has come of an update.
+/// The result of an update.
 pub(crate) struct AppliedUpdate {
     pub(crate) kind: ListKind,
-    /// The endpoints that the decisions are to be told of.
+    /// The endpoints of which the balancer must be notified.
     pub(crate) endpoints: Vec<EndpointId>,
-    /// Handles that stand for another endpoint from now on.
+    /// Ids that were reassigned to another endpoint.
     pub(crate) reassigned: Vec<EndpointId>,
 }
 
 impl AppliedUpdate {
-    fn nothing(kind: ListKind) -> AppliedUpdate {
+    fn empty(kind: ListKind) -> AppliedUpdate {
         AppliedUpdate {
             kind,
             endpoints: vec![],
@@ -66,22 +66,24 @@
 
 impl EndpointSet {
     pub(crate) fn address(&self, id: EndpointId) -> Option<&EndpointAddress> {
-        self.rows.get(id.index()).map(|row| &row.endpoint.address)
+        self.records
+            .get(id.index())
+            .map(|record| &record.endpoint.address)
     }
 
-    /// Zone and cell of an endpoint.
+    /// The zone and cell of an endpoint; the defaults for an unknown id.
     pub(crate) fn zone_and_cell(&self, id: EndpointId) -> (ZoneId, Option<u64>) {
-        let endpoint = self.rows.get(id.index()).map(|row| &row.endpoint);
+        let endpoint = self.records.get(id.index()).map(|record| &record.endpoint);
         endpoint
             .map(|endpoint| (endpoint.zone, endpoint.cell))
             .unwrap_or_default()
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
-        self.rows.iter().map(|row| &row.endpoint)
+        self.records.iter().map(|record| &record.endpoint)
     }
 
-    /// Sets the terms of the lease on the list of a source.
+    /// Sets the terms of a source's lease.
     pub(crate) fn set_lease_terms(
         &mut self,
         now: Timestamp,
@@ -91,8 +93,8 @@
         self.leases.get_mut(source).set_terms(now, terms);
     }
 
-    /// Takes in what a source has said of its list.
-    pub(crate) fn note_signal(
+    /// Applies a signal to a source's lease.
+    pub(crate) fn record_signal(
         &mut self,
         source: EndpointSource,
         as_of: Timestamp,
@@ -101,56 +103,60 @@
         self.leases.get_mut(source).record_signal(as_of, signal);
     }
 
-    /// When the lease on the list of a source ends unless it is renewed.
+    /// When a source's lease expires unless it is renewed.
     pub(crate) fn lease_expires_at(&self, source: EndpointSource) -> Option<Timestamp> {
         self.leases.get(source).expires_at()
     }
 
-    /// When the next of the valid leases ends unless it is renewed.
+    /// When the first of the valid leases expires unless it is renewed.
     pub(crate) fn next_lease_expiry(&self, now: Timestamp) -> Option<Timestamp> {
         self.leases.next_expiry(now)
     }
 
-    /// Whether the list of any source may be used.
+    /// Whether any source has a valid lease on its list.
     pub(crate) fn has_valid_lease(&self, now: Timestamp) -> bool {
         self.leases.any_valid(now)
     }
 
-    /// Where the set of valid leases has changed since the last review: all endpoints that are
-    /// listed.
+    /// Updates which leases are valid; if that has changed since the last call, returns all listed
+    /// endpoints.
     pub(crate) fn refresh_leases(&mut self, now: Timestamp) -> Option<Vec<EndpointId>> {
-        let usable = self.leases.valid(now);
-        let before = std::mem::replace(&mut self.usable, usable);
-        (before != usable).then(|| self.listed())
+        let lists_usable = self.leases.valid(now);
+        let previous = std::mem::replace(&mut self.lists_usable, lists_usable);
+        (previous != lists_usable).then(|| self.listed())
     }
 
     fn listed(&self) -> Vec<EndpointId> {
-        let is_listed = |row: &Row| row.endpoint.state != EndpointState::Gone;
+        let is_listed = |record: &EndpointRecord| record.endpoint.state != EndpointState::Gone;
         let listed = self
-            .rows
+            .records
             .iter()
             .enumerate()
-            .filter(|(_, row)| is_listed(row));
+            .filter(|(_, record)| is_listed(record));
         listed.map(|(index, _)| EndpointId(index as u32)).collect()
     }
 
-    /// Whether anything new may be sent to an endpoint, and until when its first byte may be
-    /// written.
+    /// Whether a request or a health check may be sent to an endpoint now, and the latest time to
+    /// write its first byte (`None`: no limit).
     pub(crate) fn write_permission(
         &self,
         now: Timestamp,
         id: EndpointId,
     ) -> Result<Option<Timestamp>, Denial> {
-        let row = self.rows.get(id.index()).ok_or(Denial::UnknownEndpoint)?;
-        rules::endpoint_permission(now, row.endpoint.state, self.leases.get(row.source))
+        let record = self
+            .records
+            .get(id.index())
+            .ok_or(Denial::UnknownEndpoint)?;
+        rules::endpoint_permission(now, record.endpoint.state, self.leases.get(record.source))
     }
 
-    /// An endpoint as the decisions see it.
+    /// The entry of an endpoint for the balancer. A ready endpoint is unconfirmed while its source
+    /// has no valid lease.
     pub(crate) fn entry(&self, id: EndpointId) -> EndpointEntry<'_> {
-        let Row {
+        let EndpointRecord {
             source, endpoint, ..
-        } = &self.rows[id.index()];
-        let is_usable = *self.usable.get(*source);
+        } = &self.records[id.index()];
+        let is_usable = *self.lists_usable.get(*source);
         EndpointEntry {
             endpoint: id,
             name: &endpoint.name,
@@ -168,7 +174,8 @@
         }
     }
 
-    /// Applies an update; `in_use` names the handles that something may still come for.
+    /// Applies an update. `in_use` returns the ids that must not be reassigned, as attempts or
+    /// health checks still refer to them.
     pub(crate) fn apply(
         &mut self,
         source: EndpointSource,
@@ -183,39 +190,40 @@
             EndpointListUpdate::Bootstrap(endpoints) => (ListKind::Bootstrap, endpoints, false),
             EndpointListUpdate::Delta(endpoints) => (ListKind::Delta, endpoints, false),
             EndpointListUpdate::OutdatedDelta(endpoints) => (ListKind::Delta, endpoints, true),
-            EndpointListUpdate::Unchanged => return AppliedUpdate::nothing(ListKind::Delta),
-            EndpointListUpdate::Lost(_) => return AppliedUpdate::nothing(ListKind::SourceLost),
+            EndpointListUpdate::Unchanged => return AppliedUpdate::empty(ListKind::Delta),
+            EndpointListUpdate::Lost(_) => return AppliedUpdate::empty(ListKind::SourceLost),
         };
         if is_outdated {
             for endpoint in &mut endpoints {
-                self.keep_departure(endpoint);
+                self.preserve_withdrawal(endpoint);
             }
         }
         let is_whole_list = kind != ListKind::Delta;
         if is_whole_list {
             self.mark_all_gone(source, is_outdated);
         }
-        let mut applied = AppliedUpdate::nothing(kind);
+        let mut applied = AppliedUpdate::empty(kind);
         self.merge(source, endpoints, is_outdated, in_use, &mut applied);
-        self.note_gone();
+        self.record_gone();
         if is_whole_list {
-            // A whole list replaces the lists of all sources for the decisions.
+            // For the balancer, a whole list replaces the lists of all sources.
             applied.endpoints = self.listed();
         }
         applied
     }
 
-    /// An outdated list does not take back that an endpoint drains or is gone. It is ready again
-    /// once it has started anew, or by a list that is up to date or a change since.
-    fn keep_departure(&self, endpoint: &mut Endpoint) {
+    /// Keeps an endpoint of an outdated list draining or gone if an up-to-date list has shown it
+    /// so. The endpoint becomes ready again if it has restarted since, or with an up-to-date list
+    /// or delta.
+    fn preserve_withdrawal(&self, endpoint: &mut Endpoint) {
         let Some(id) = self
             .ids
             .get(&endpoint.name)
-            .filter(|id| self.departed.contains(id))
+            .filter(|id| self.withdrawn.contains(id))
         else {
             return;
         };
-        let known = &self.rows[id.index()].endpoint;
+        let known = &self.records[id.index()].endpoint;
         if endpoint.state == EndpointState::Ready && known.started_at >= endpoint.started_at {
             endpoint.state = known.state;
             endpoint.started_at = known.started_at;
@@ -223,15 +231,15 @@
     }
 
     fn mark_all_gone(&mut self, source: EndpointSource, is_outdated: bool) {
-        for (index, row) in self
-            .rows
+        for (index, record) in self
+            .records
             .iter_mut()
             .enumerate()
-            .filter(|(_, row)| row.source == source)
+            .filter(|(_, record)| record.source == source)
         {
-            row.endpoint.state = EndpointState::Gone;
+            record.endpoint.state = EndpointState::Gone;
             if !is_outdated {
-                self.departed.insert(EndpointId(index as u32));
+                self.withdrawn.insert(EndpointId(index as u32));
             }
         }
     }
@@ -244,17 +252,17 @@
         in_use: impl Fn() -> HashSet<EndpointId>,
         applied: &mut AppliedUpdate,
     ) {
-        // Known names first: otherwise one that comes back could lose its handle to a new name of
+        // Known names first: otherwise an endpoint that returns could lose its id to a new name in
         // the same list.
         endpoints.sort_by_cached_key(|endpoint| !self.ids.contains_key(&endpoint.name));
         let mut free_ids: Option<Vec<EndpointId>> = None;
         for endpoint in endpoints {
             let is_ready = endpoint.state == EndpointState::Ready;
             let id = match self.ids.get(&endpoint.name).copied() {
-                // A source does not take over what another lists under the same name.
-                Some(id) if self.rows[id.index()].source != source => continue,
+                // Another source lists an endpoint under the same name; that one stays.
+                Some(id) if self.records[id.index()].source != source => continue,
                 Some(id) => {
-                    self.rows[id.index()].endpoint = endpoint;
+                    self.records[id.index()].endpoint = endpoint;
                     id
                 }
                 None => {
@@ -263,15 +271,15 @@
                 }
             };
             if is_ready {
-                self.departed.remove(&id);
+                self.withdrawn.remove(&id);
             } else if !is_outdated {
-                self.departed.insert(id);
+                self.withdrawn.insert(id);
             }
             applied.endpoints.push(id);
         }
     }
 
-    /// Adds a new name, under a handle that is free or a new one.
+    /// Adds an endpoint with a new name, under the given free id or a new one.
     fn insert(
         &mut self,
         source: EndpointSource,
@@ -279,38 +287,38 @@
         free_id: Option<EndpointId>,
         reassigned: &mut Vec<EndpointId>,
     ) -> EndpointId {
-        let id = free_id.unwrap_or(EndpointId(self.rows.len() as u32));
+        let id = free_id.unwrap_or(EndpointId(self.records.len() as u32));
         self.ids.insert(endpoint.name.clone(), id);
-        let row = Row {
+        let record = EndpointRecord {
             source,
             endpoint,
             gone_at_update: None,
         };
         if free_id.is_some() {
-            let before = std::mem::replace(&mut self.rows[id.index()], row);
-            self.ids.remove(&before.endpoint.name);
-            self.departed.remove(&id);
+            let replaced = std::mem::replace(&mut self.records[id.index()], record);
+            self.ids.remove(&replaced.endpoint.name);
+            self.withdrawn.remove(&id);
             reassigned.push(id);
         } else {
-            self.rows.push(row);
+            self.records.push(record);
         }
         id
     }
 
-    /// Handles for new names, the one to take first at the end: of the endpoints that were gone
-    /// before this update, all but the last to leave, and none that anything may come for.
+    /// Ids that may be reassigned, to be taken from the end: those of endpoints that were gone
+    /// before this update, except for the last [`MAX_GONE_ENDPOINTS`] to leave and for ids in use.
     fn reusable_ids(&self, in_use: &HashSet<EndpointId>) -> Vec<EndpointId> {
         let mut gone = Vec::new();
-        for (index, row) in self.rows.iter().enumerate() {
-            if let Some(since) = row
+        for (index, record) in self.records.iter().enumerate() {
+            if let Some(since) = record
                 .gone_at_update
-                .filter(|_| row.endpoint.state == EndpointState::Gone)
+                .filter(|_| record.endpoint.state == EndpointState::Gone)
             {
                 gone.push((since, EndpointId(index as u32)));
             }
         }
         gone.sort_unstable();
-        gone.truncate(gone.len().saturating_sub(MAX_GONE));
+        gone.truncate(gone.len().saturating_sub(MAX_GONE_ENDPOINTS));
         gone.into_iter()
             .rev()
             .map(|(_, id)| id)
@@ -318,11 +326,13 @@
             .collect()
     }
 
-    fn note_gone(&mut self) {
+    /// Counts the update, and records for each gone endpoint since which update it is gone.
+    fn record_gone(&mut self) {
         self.update_count += 1;
-        for row in &mut self.rows {
-            let is_gone = row.endpoint.state == EndpointState::Gone;
-            row.gone_at_update = is_gone.then_some(row.gone_at_update.unwrap_or(self.update_count));
+        for record in &mut self.records {
+            let is_gone = record.endpoint.state == EndpointState::Gone;
+            record.gone_at_update =
+                is_gone.then_some(record.gone_at_update.unwrap_or(self.update_count));
         }
     }
 }
--- a/crates/core/src/reducer/endpoint_list.rs
+++ b/crates/core/src/reducer/endpoint_list.rs
@@ -23,7 +23,7 @@
         let signal = update.lease_signal();
         let applied = self.apply_update(source, update);
         if let Some(signal) = signal {
-            self.endpoints.note_signal(source, as_of, signal);
+            self.endpoints.record_signal(source, as_of, signal);
             let expires_at = self.endpoints.lease_expires_at(source);
             effects.push(Effect::LogLease {
                 source,
