--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,8 +1,8 @@
-//! Attempts: single tries to have a request served by an endpoint.
+//! Attempts: each sends a request to one endpoint once.
 
 use bytes::Bytes;
 
-/// Handle of an attempt; never used twice.
+/// Id of an attempt; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
@@ -11,41 +11,41 @@
 pub enum AttemptUpdate {
     /// The job has started.
     Started,
-    /// This fraction of the job is done, from 0 to 1.
+    /// The completed fraction of the job, from 0 to 1.
     Fraction(f64),
-    /// Part of the result, for the client.
+    /// Partial result, to be forwarded to the client.
     Data(Bytes),
-    /// A warning for the client.
+    /// A warning, to be forwarded to the client.
     Warning(Bytes),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served, with this result.
+    /// The endpoint returned this result.
     Served(Bytes),
-    /// The endpoint failed; the job may have run.
+    /// The endpoint responded with an error; the job may have run.
     Error,
-    /// The endpoint says that the job is invalid, as any other would.
+    /// The endpoint reported that the job is invalid, which holds for all other endpoints as well.
     InvalidJob,
-    /// The endpoint rejected the job or handed it back; it has not run.
+    /// The endpoint rejected the job or returned it unprocessed; it has not run.
     Rejected,
-    /// It provably never reached the endpoint.
+    /// The job provably never reached the endpoint.
     ConnectFailed,
-    /// The dispatcher lacked what it takes to send it: it never ran, and that says nothing about
-    /// the endpoint.
+    /// The dispatcher did not send the job: it had no free socket, or stalled until after the write
+    /// deadline. The job has not run, and the outcome does not count against the endpoint.
     NotSent,
-    /// The connection ended before the result; the job may have run.
+    /// The connection closed before the result arrived; the job may have run.
     Reset,
-    /// The same before any response, on a connection reused after an earlier one: the endpoint may
-    /// be well.
+    /// Like [`Reset`](AttemptOutcome::Reset), but on a reused connection and before any byte of a
+    /// response: the endpoint may be healthy.
     IdleConnectionReset,
-    /// No longer waited for; the job may have run or may still be running.
+    /// No result in time; the job may have run or may still be running.
     TimedOut,
 }
 
 impl AttemptOutcome {
-    /// The outcome as the log names it.
+    /// The name of the outcome in log lines.
     pub fn as_str(&self) -> &'static str {
         match self {
             AttemptOutcome::Served(_) => "served",
--- a/crates/core/src/consumed_ids.rs
+++ b/crates/core/src/consumed_ids.rs
@@ -1,26 +1,26 @@
-//! Ids of requests that are over, may have run and must not run again.
+//! Consumed ids: the request ids of done requests that may have run and must not run again.
 //!
-//! A client whose connection broke under its request, and that sends the request once more after
-//! the first was forgotten, would otherwise have it run twice.
+//! Without them, a request could run twice if the connection of its client broke and the client
+//! sends the request again after the first one was removed.
 
 use pumiceway_decisions::api::Timestamp;
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// At most this many ids are known; beyond it, the one that expires next is forgotten.
+/// Maximum number of ids kept; beyond it, the id that expires first is removed.
 const MAX_IDS: usize = 4096;
 
 #[derive(Default)]
 pub(crate) struct ConsumedIds {
     ids: HashSet<Arc<str>>,
-    /// When each is forgotten.
+    /// When each id expires.
     expiries: BTreeSet<(Timestamp, Arc<str>)>,
 }
 
 impl ConsumedIds {
-    /// Whether a request with this id must not run.
+    /// Whether a request with this id must not run again.
     pub(crate) fn contains(&mut self, now: Timestamp, id: &str) -> bool {
-        self.forget_while(|expires_at, _| expires_at <= now);
+        self.remove_while(|expires_at, _| expires_at <= now);
         self.ids.contains(id)
     }
 
@@ -29,14 +29,14 @@
         if self.ids.insert(id.clone()) {
             self.expiries.insert((expires_at, id));
         }
-        self.forget_while(|_, count| count > MAX_IDS);
+        self.remove_while(|_, count| count > MAX_IDS);
     }
 
-    fn forget_while(&mut self, is_over: impl Fn(Timestamp, usize) -> bool) {
+    fn remove_while(&mut self, should_remove: impl Fn(Timestamp, usize) -> bool) {
         while self
             .expiries
             .first()
-            .is_some_and(|(expires_at, _)| is_over(*expires_at, self.expiries.len()))
+            .is_some_and(|(expires_at, _)| should_remove(*expires_at, self.expiries.len()))
         {
             if let Some((_, id)) = self.expiries.pop_first() {
                 self.ids.remove(&id);
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the core wants done.
+//! Effects: the outputs of the core.
 
 use crate::{
     AttemptId, AttemptUpdate, ClientResponse, EndpointAddress, EndpointSource, HealthCheckId, Job,
@@ -10,14 +10,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the core wants done, in the order in which it is returned.
+/// A side effect for the event loop to perform; effects are performed in the order in which
+/// [`Core::reduce`](crate::Core::reduce) returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Start an attempt; updates of it and one outcome come back.
+    /// Start an attempt. It is followed by any number of
+    /// [`Event::AttemptUpdated`](crate::Event::AttemptUpdated) and one
+    /// [`Event::AttemptEnded`](crate::Event::AttemptEnded).
     StartAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// Its number among the attempts of its request, from 0.
+        /// Number of the attempt within its request, from 0.
         attempt_index: usize,
         /// The endpoint.
         endpoint: EndpointId,
@@ -25,39 +28,40 @@
         address: EndpointAddress,
         /// Class of the job.
         class: ClassId,
-        /// What is to be done.
+        /// The job to run.
         job: Arc<Job>,
-        /// How long its response is waited for.
+        /// Remaining time until the response is no longer needed.
         remaining: Duration,
-        /// Open a connection for it, and use no idle one.
+        /// Open a new connection instead of using an idle one.
         dedicated_connection: bool,
-        /// Write no byte of it after this time, if given.
+        /// Latest time to write the first byte, if limited.
         write_by: Option<Timestamp>,
     },
-    /// Stop waiting for an attempt, and close its connection; nothing comes back.
+    /// Abort an attempt and close its connection; no event follows.
     AbortAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Give a client its final response.
+    /// Send the final response to a client.
     Respond {
-        /// The client.
+        /// The handle of the client's request.
         handle: RequestHandle,
         /// The response.
         response: ClientResponse,
     },
-    /// Pass the progress of an attempt on to a client.
+    /// Forward the progress of an attempt to a client.
     ForwardUpdate {
-        /// The client.
+        /// The handle of the client's request.
         handle: RequestHandle,
         /// The progress.
         update: AttemptUpdate,
     },
-    /// Check an endpoint's health; one result comes back.
+    /// Check the health of an endpoint; one [`Event::HealthChecked`](crate::Event::HealthChecked)
+    /// follows.
     CheckHealth {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The check, to come back with its result.
+        /// The health check, to be returned in its event.
         check: HealthCheckId,
         /// Address of the endpoint.
         address: EndpointAddress,
@@ -67,59 +71,62 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Watch the discovery service at this address, and no other once it has sent its list.
+    /// Watch the discovery service at this address, and stop watching the previous one once this
+    /// one has sent its list.
     WatchDiscovery {
-        /// Its address.
+        /// Address of the discovery service.
         address: String,
-        /// Version of the list that is known from there; without one, the whole list is sent first.
+        /// Version of the endpoint list already known from this address; without it, the watch
+        /// starts with the whole list.
         list_version: Option<u64>,
     },
     /// Send [`Event::TimerFired`](crate::Event::TimerFired) at this time; replaces any earlier
     /// timer.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Timestamp,
     },
     /// Report the dispatcher as ready.
     ReportReady,
-    /// Accept no new connection, and close those of clients as they become idle.
+    /// Stop accepting connections, and close client connections as they become idle.
     CloseFrontends,
-    /// All requests have their responses: end the process.
+    /// All final responses have been sent: end the process.
     Exit,
-    /// Log what a signal of a source made of the lease on its list.
+    /// Log a lease signal and the resulting expiry of the source's lease.
     LogLease {
         /// The source.
         source: EndpointSource,
         /// The signal.
         signal: LeaseSignal,
-        /// When the lease ends unless it is renewed; `None` where none holds or it does not end.
+        /// When the lease expires unless it is renewed; `None` if it is unconfirmed or does not
+        /// expire.
         expires_at: Option<Timestamp>,
     },
     /// Log a warning.
     Warn(Warning),
 }
 
-/// A warning for the operators.
+/// A warning that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Warning {
-    /// A new configuration changes keys that take a restart to apply.
+    /// A new configuration changes keys that require a restart to take effect.
     RestartRequired {
         /// The keys.
         keys: Vec<String>,
     },
-    /// The rules do not permit a decision, which was not carried out.
+    /// The rules denied a decision of the balancer, which was not executed.
     DecisionDenied {
-        /// Why not.
+        /// The reason.
         denial: Denial,
         /// Decisions denied so far for the same reason.
         count: u64,
     },
-    /// No source confirms its list any more: nothing is sent until one does.
+    /// No endpoint list has a valid lease: nothing is sent until a source confirms its list.
     NoConfirmedList {
-        /// Endpoints on the lists.
+        /// Number of endpoints on the lists.
         endpoints: usize,
     },
-    /// A line of the decisions.
+    /// A log line from the balancer.
     Decisions(String),
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What the host tells the core.
+//! Events: the inputs of the core.
 
 use crate::{
     AttemptId, AttemptOutcome, AttemptUpdate, ClientRequest, EndpointListUpdate, EndpointSource,
@@ -6,30 +6,30 @@
 };
 use pumiceway_decisions::api::{EndpointId, LoadReport, Outcome, Timestamp};
 
-/// Handle of a health check; never used twice.
+/// Id of a health check; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HealthCheckId(pub u64);
 
-/// What has happened.
+/// An event that the event loop passes to [`Core::reduce`](crate::Core::reduce).
 #[derive(Debug)]
 pub enum Event {
-    /// A client has handed in a request.
+    /// A client has submitted a request.
     RequestSubmitted {
-        /// The client.
+        /// Identifies the client in the responses to this request.
         handle: RequestHandle,
-        /// Its request.
+        /// The request.
         request: ClientRequest,
     },
-    /// A client has left without its response.
+    /// A client has disconnected before it got its final response.
     ClientDisconnected {
-        /// The client.
+        /// The handle of its request.
         handle: RequestHandle,
     },
     /// An attempt in flight has made progress.
     AttemptUpdated {
         /// The attempt.
         attempt: AttemptId,
-        /// Its progress.
+        /// The progress.
         update: AttemptUpdate,
     },
     /// An attempt has ended.
@@ -38,56 +38,57 @@
         attempt: AttemptId,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// The load report that came along.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
     },
     /// A health check has ended.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The check.
+        /// The health check.
         check: HealthCheckId,
         /// How it ended.
         outcome: Outcome,
-        /// The load report that came along.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
     },
-    /// A source of endpoints has sent a list or a change, or has been lost.
+    /// A source has sent an endpoint list or a delta, or has been lost.
     EndpointListUpdated {
         /// The source.
         source: EndpointSource,
-        /// The earliest time at which the update can have been true: see
+        /// The earliest time as of which the update can be current; see
         /// [`Lease::record_signal`](pumiceway_decisions::rules::Lease::record_signal).
         as_of: Timestamp,
         /// The update.
         update: EndpointListUpdate,
     },
-    /// The same from the address of a source before a new configuration: it no longer confirms
-    /// anything.
+    /// An update from the previous address of a source, which a new configuration has replaced. It
+    /// is applied, but does not renew the lease.
     PreviousSourceUpdated {
         /// The source.
         source: EndpointSource,
         /// The update.
         update: EndpointListUpdate,
     },
-    /// From now on, the list of this source is used only while the source confirms it.
+    /// From now on, the list of this source is used only while its lease is valid.
     LeaseRequired {
         /// The source.
         source: EndpointSource,
     },
-    /// The configuration has been read, at the start or again.
+    /// The configuration has been loaded or reloaded.
     Configured {
         /// Address of the discovery service.
         discovery: Option<String>,
-        /// Version of the list that is known from there; without one, the whole list is sent first.
+        /// Version of the endpoint list already known from this address; without it, the watch
+        /// starts with the whole list.
         list_version: Option<u64>,
-        /// Keys that have changed and take a restart to apply.
+        /// Changed keys that require a restart to take effect.
         restart_required: Vec<String>,
     },
     /// The timer set by [`Effect::SetTimer`](crate::Effect::SetTimer) has fired.
     TimerFired,
-    /// The dispatcher is to shut down.
+    /// A shutdown of the dispatcher was requested.
     ShutdownRequested,
-    /// The frontends are closed, and no client connection is left.
+    /// The frontends are closed, and no client connection is open.
     FrontendsClosed,
 }
--- a/crates/core/src/idempotency_cache.rs
+++ b/crates/core/src/idempotency_cache.rs
@@ -1,23 +1,23 @@
-//! The idempotency cache: what has become of requests that clients may send again under the same
-//! unique id.
+//! The idempotency cache: running requests and cached responses by unique id, for clients that send
+//! a request again under the same one.
 
 use crate::{ClientResponse, Failure, UniqueId};
 use pumiceway_decisions::api::{RequestId, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How much the idempotency cache holds, and for how long.
+/// Limits of the idempotency cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// A response is cached for this long. Default: 10 minutes.
+    /// How long a response is cached. Default: 10 minutes.
     pub time: Duration,
-    /// Unique ids that are known at once, of running requests and of cached responses. Default:
+    /// Maximum number of unique ids, of running requests and cached responses together. Default:
     /// 10,000.
     pub entries: usize,
-    /// Requests with a unique id that run at once; without a bound, those whose clients have left
-    /// would pile up. Default: 256.
+    /// Maximum number of concurrent requests with a unique id. Without a limit, requests whose
+    /// clients have disconnected would accumulate, as they go on. Default: 256.
     pub running: usize,
-    /// Bytes of all cached results together. Default: 16 MiB.
+    /// Maximum total size of the cached results in bytes. Default: 16 MiB.
     pub bytes: usize,
 }
 
@@ -32,24 +32,25 @@
     }
 }
 
-/// What is known of a unique id.
+/// The result of looking up a unique id.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Lookup {
-    /// Nothing, and there is capacity for its request.
+    /// The id is unknown, and there is room for its request.
     New,
-    /// Nothing, and there is no capacity.
+    /// The id is unknown, and the cache is full.
     Full,
     /// Its request is running.
     Running(RequestId),
-    /// Its request had this response.
+    /// Its request got this response.
     Cached(ClientResponse),
 }
 
-/// Responses by unique id. Nothing is evicted early: with the cache full, new unique ids are shed.
+/// Entries by unique id. None is evicted before it expires: while the cache is full, requests with
+/// new unique ids are shed.
 pub(crate) struct IdempotencyCache {
     limits: Retention,
     entries: HashMap<UniqueId, Entry>,
-    /// Cached responses by when they expire, and a number that keeps equal times apart.
+    /// The unique ids of cached responses by expiry time; the insert count makes the keys unique.
     expiries: BTreeMap<(Timestamp, u64), UniqueId>,
     cached_bytes: usize,
     running: usize,
@@ -78,7 +79,7 @@
         match self.entries.get(id) {
             Some(Entry::Running(request)) => Lookup::Running(*request),
             Some(Entry::Cached(response)) => Lookup::Cached(response.clone()),
-            // Evicting a request that may have run, to make room, would let it run again.
+            // No entry is evicted to make room: its request may have run, and could then run again.
             None if self.is_full() => Lookup::Full,
             None => Lookup::New,
         }
@@ -92,14 +93,14 @@
         self.entries.len()
     }
 
-    /// The request of a unique id runs from now on.
+    /// Records that the request of a unique id is running.
     pub(crate) fn begin(&mut self, id: UniqueId, request: RequestId) {
         self.running += 1;
         self.entries.insert(id, Entry::Running(request));
     }
 
-    /// The request has its response. One that makes a retry harmless is not cached; a result for
-    /// which there is no room is cached as a failure that says so.
+    /// Caches the response of a running request. A response after which a retry is harmless is not
+    /// cached; a result that does not fit is cached as [`Failure::ResultNotCached`].
     pub(crate) fn complete(&mut self, now: Timestamp, id: UniqueId, response: &ClientResponse) {
         self.running = self.running.saturating_sub(1);
         let cached = match response {
--- a/crates/core/src/idempotency_cache/tests.rs
+++ b/crates/core/src/idempotency_cache/tests.rs
@@ -18,7 +18,7 @@
     UniqueId(number.to_string())
 }
 
-/// Memory is bounded, and no room is made by forgetting a request that may have run.
+/// Memory is bounded without evicting entries: a request that may have run could run again.
 #[test]
 fn responses_are_cached_for_their_time_and_never_evicted() {
     let mut cache = cache(3, 10);
@@ -57,7 +57,7 @@
     let not_cached = ClientResponse::Failed(Failure::ResultNotCached);
     assert_eq!(cache.look_up(at(1), &id(1)), Lookup::Cached(not_cached));
     assert_eq!(cache.look_up(at(1), &id(2)), Lookup::New);
-    // The bytes of an expired response are free again.
+    // An expired response no longer counts towards the limit in bytes.
     cache.expire(at(500));
     cache.begin(id(3), RequestId(3));
     cache.complete(at(500), id(3), &result);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,11 @@
-//! The core of a dispatcher: requests, attempts, the endpoint list, timers and the shutdown, behind
-//! one reducer.
+//! The core of a dispatcher: a reducer that holds the state of requests, attempts, the endpoint
+//! list, timers and the shutdown.
 //!
-//! The core does no I/O and reads no clock. What happens outside comes in as an [`Event`] with the
-//! time; what is to be done outside goes out as [`Effect`]s, whose results come back as events. The
-//! decisions are taken by the
-//! [`Balancer`](pumiceway_decisions::Balancer) of the crate `pumiceway-decisions`, which the core drives, and checked
-//! against [the rules](pumiceway_decisions::rules) before they are carried out.
+//! The core does no I/O and reads no clock. The event loop passes [`Event`]s, each with the current
+//! time, to [`Core::reduce`] and performs the [`Effect`]s that it returns; their results come back
+//! as further events. Selection, queueing and retries are decided by the
+//! [`Balancer`](pumiceway_decisions::Balancer) of the crate `pumiceway-decisions`; the core checks
+//! each of its actions against the [rules](pumiceway_decisions::rules) before executing it.
 //!
 //! ```
 //! use pumiceway_core::{Core, Effect, Event, Retention};
--- a/crates/core/src/overview.rs
+++ b/crates/core/src/overview.rs
@@ -1,15 +1,15 @@
-//! The state of a dispatcher, for its operators.
+//! A summary of the state of a dispatcher for operators.
 
 use crate::Endpoint;
 
 /// The state of a dispatcher at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overview {
-    /// For each class.
+    /// The requests of each class.
     pub classes: Vec<ClassOverview>,
-    /// The endpoint list, by handle.
+    /// The endpoints of all sources, by endpoint id; endpoints that are gone are included.
     pub endpoints: Vec<Endpoint>,
-    /// Unique ids that are known: of requests that run, and of cached responses.
+    /// Number of unique ids in the idempotency cache, of running requests and cached responses.
     pub unique_ids: usize,
 }
 
@@ -18,6 +18,6 @@
 pub struct ClassOverview {
     /// Requests without a final response.
     pub open: usize,
-    /// Those of them with an attempt in flight.
+    /// Open requests with an attempt in flight.
     pub in_flight: usize,
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,38 +1,40 @@
-//! Requests as a frontend hands them in.
+//! Requests as frontends submit them.
 
 use bytes::Bytes;
 use pumiceway_decisions::api::{ClassId, TenantId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Handle of a client that waits for the response to a request.
+/// Identifies a submitted request and the client that waits for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestHandle(pub u64);
 
-/// What a client calls a request by when it sends it again: the request then joins the one that is
-/// running, or gets the cached response. Gearman's unique id.
+/// Gearman's unique id: a client that sends a request again under the same unique id joins the
+/// running request or gets the cached response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UniqueId(pub String);
 
-/// What is to be done, as it is passed on to endpoints.
+/// The job of a request, as it is sent to endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The request id that the client gave it.
+    /// The request id, assigned by the client.
     pub id: String,
     /// Path and query.
     pub path: String,
-    /// Passed on byte for byte with each attempt; endpoints recognise a repeat by it.
+    /// Sent unchanged with each attempt, so that endpoints can recognise a repeat.
     pub idempotency_key: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// Basis and multiplier of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
 impl Job {
-    /// A hash of what the job is about: of the last segment of a path that has more than the class.
+    /// The affinity key: a hash of the last segment of the path, or `None` if the path has only one
+    /// segment, which is the class.
     pub fn affinity_key(&self) -> Option<u64> {
         let path = self
             .path
@@ -46,21 +48,21 @@
     }
 }
 
-/// A request as a frontend hands it in.
+/// A request as a frontend submits it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its class.
+    /// Class.
     pub class: ClassId,
-    /// Time until the client stops waiting.
+    /// Remaining time until the client stops waiting.
     pub remaining: Duration,
-    /// Slots that it takes.
+    /// Number of slots that the request occupies at an endpoint.
     pub slots: f64,
-    /// Memory that it takes.
+    /// Memory that the request occupies at an endpoint, in slots' worth.
     pub memory: f64,
-    /// Its tenant.
+    /// Tenant, if any.
     pub tenant: Option<TenantId>,
-    /// What is to be done.
+    /// The job to run.
     pub job: Arc<Job>,
-    /// What its client calls it by when it sends it again.
+    /// Unique id, if the client gave one.
     pub unique_id: Option<UniqueId>,
 }
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -1,4 +1,4 @@
-//! Final responses to requests.
+//! Final responses to clients.
 
 use bytes::Bytes;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 /// The final response to a request; each request gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// The result of an endpoint.
+    /// Served, with the result of an endpoint.
     Served(Bytes),
-    /// Shed: it has not run, or may run again, so a retry is harmless.
+    /// Shed: the request has not run, or may run again, so a retry is harmless.
     Overloaded {
-        /// How long the client should back off.
+        /// How long the client should back off, if the settings allow telling it.
         retry_after: Option<Duration>,
     },
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed(Failure),
-    /// Not accepted, and not to be retried as it is; it has not run.
+    /// Not accepted, and not to be retried unchanged; the request has not run.
     Rejected(Rejection),
 }
 
 impl ClientResponse {
-    /// The kind of the response as the log names it.
+    /// The name of the kind of response in log lines.
     pub fn as_str(&self) -> &'static str {
         match self {
             ClientResponse::Served(_) => "served",
@@ -32,31 +32,31 @@
     }
 }
 
-/// Why a request failed that may have run. Clients get the text.
+/// Why a request failed that may have run. Clients receive the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
-    /// Not served by its deadline, or an attempt may have run and the rules permit no other. How
-    /// long it took tells which.
+    /// The request was not served by its deadline, or an attempt may have run and the rules permit
+    /// no further one. The two differ only in the time that the request took.
     #[error("not done in time")]
     NotServed,
-    /// A request with its id is over and may have run.
+    /// An earlier request with the same id is done and may have run.
     #[error("it may have run before")]
     MayHaveRunBefore,
-    /// It was served before, and the result was too large for the cache.
+    /// The request was served before, but its result was too large for the idempotency cache.
     #[error("served before; its result was too large to keep")]
     ResultNotCached,
-    /// The dispatcher ended before it had a response.
+    /// The dispatcher shut down before it had a response.
     #[error("the dispatcher is ending")]
     DispatcherEnded,
 }
 
-/// Why a request is not accepted. Clients get the text.
+/// Why a request is not accepted. Clients receive the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// Its id belongs to another request that is open, with other content.
+    /// Another open request has the same id but different content.
     #[error("the id is in use")]
     IdInUse,
-    /// An endpoint says that the job is invalid.
+    /// An endpoint reported that the job is invalid.
     #[error("no next hop can use it")]
     InvalidJob,
 }
