--- a/crates/core/src/idempotency_cache/tests.rs
+++ b/crates/core/src/idempotency_cache/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn results_beyond_the_bound_are_cached_as_failures_and_overload_responses_not_at_all() {
+fn results_that_do_not_fit_are_cached_as_failures_and_overload_responses_are_not_cached() {
     let mut cache = cache(9, 10);
     let result = ClientResponse::Served("12345678".into());
     for number in 0..3 {
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: each has exactly one outcome, and what comes for it later has no effect.
+//! Attempts: each has exactly one outcome; later outcomes and updates have no effect.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use pumiceway_core::*;
 use pumiceway_decisions::api::Idempotency;
 
-/// A late outcome of an attempt that timed out is neither served nor counted.
+/// A late outcome of an attempt that timed out is ignored.
 #[test]
 fn an_attempt_has_one_outcome_and_a_request_one_response() {
     let mut core = TestCore::new(single_class(Idempotency::NonIdempotent), &[endpoint("a")]);
@@ -37,9 +37,9 @@
     );
 }
 
-/// An invalid job would be invalid at every endpoint.
+/// The job would be invalid at any other endpoint as well.
 #[test]
-fn a_job_that_an_endpoint_calls_invalid_is_not_retried() {
+fn an_invalid_job_is_not_retried() {
     let endpoints = ["a", "b"].map(endpoint);
     let mut core = TestCore::new(single_class(Idempotency::Idempotent), &endpoints);
     let attempt = started_attempts(&core.submit_for(ONLY_CLASS, 1, 2_000 * MS))[0];
@@ -52,7 +52,7 @@
     );
 }
 
-/// Whether the first attempt that is started opens a connection of its own.
+/// Whether the first attempt started by these effects uses a dedicated connection.
 fn uses_dedicated_connection(effects: &[Effect]) -> Option<bool> {
     effects.iter().find_map(|effect| match effect {
         Effect::StartAttempt {
@@ -63,8 +63,8 @@
     })
 }
 
-/// A non-idempotent request would be lost with an idle connection that the endpoint dropped
-/// unnoticed, and one such connection has just been met.
+/// A non-idempotent request cannot be retried if the endpoint has already closed the idle
+/// connection on which it is sent, and the reset shows that the endpoint closes idle connections.
 #[test]
 fn after_an_idle_connection_reset_non_idempotent_requests_use_dedicated_connections() {
     for (idempotency, expected) in [
@@ -75,15 +75,15 @@
         let first = core.submit_for(ONLY_CLASS, 1, 2_000 * MS);
         assert_eq!(uses_dedicated_connection(&first), Some(false));
         let attempt = started_attempts(&first)[0];
-        // A non-idempotent request fails and another one arrives; an idempotent one is retried at
-        // the other endpoint.
+        // A non-idempotent request fails, and a second request is submitted; an idempotent one is
+        // retried at the other endpoint.
         let mut second = core.end_attempt(attempt, AttemptOutcome::IdleConnectionReset);
         second.extend(core.submit_for(ONLY_CLASS, 2, 2_000 * MS));
         assert_eq!(uses_dedicated_connection(&second), Some(expected));
         let attempt = started_attempts(&second)[0];
         core.end_attempt(attempt, served());
-        // Idle connections are trusted again after a while; the request goes to a further endpoint,
-        // as the first is on probation.
+        // Idle connections are used again after 30 s; the request goes to a new endpoint, as the
+        // first one is on probation.
         core.advance(31_000 * MS);
         core.list(&[endpoint("c")]);
         let mut third = core.submit_for(ONLY_CLASS, 3, 2_000 * MS);
@@ -94,7 +94,7 @@
 
 /// A result and a timeout at the same time give one response and free the slot once.
 #[test]
-fn of_two_outcomes_at_the_same_time_the_first_counts() {
+fn of_two_simultaneous_outcomes_only_the_first_counts() {
     for (index, settings) in deployments().into_iter().enumerate() {
         for class in [IDEMPOTENT, KEYED, NON_IDEMPOTENT] {
             let timeout = settings.classes[class]
@@ -142,7 +142,7 @@
                 assert_eq!(*response == served_response(), result_first, "{case}");
                 let is_timer = |effect: &Effect| matches!(effect, Effect::SetTimer { .. });
                 assert!(then.iter().all(is_timer), "{case}");
-                // Its slot is free, and only once: the next request is sent, and one more waits.
+                // The slot is freed exactly once: the next request is sent, and one more is queued.
                 let next = started_attempts(&core.submit(class, 2));
                 assert_eq!(next.len(), 1, "{case}");
                 assert!(
@@ -156,7 +156,7 @@
     }
 }
 
-/// A late outcome of the first attempt is not taken for one of the second.
+/// A late outcome of the first attempt must not end the second one.
 #[test]
 fn a_repeated_outcome_of_an_attempt_does_not_affect_the_next_attempt() {
     for settings in deployments()
--- a/crates/core/tests/common/deployments.rs
+++ b/crates/core/tests/common/deployments.rs
@@ -1,4 +1,4 @@
-//! Three unlike deployments, each with a class of each idempotency.
+//! Settings of three different deployments, each with one class per kind of idempotency.
 
 use super::{MS, class, settings};
 use pumiceway_decisions::api::{
@@ -13,14 +13,14 @@
 /// Index of the non-idempotent class.
 pub const NON_IDEMPOTENT: usize = 2;
 
-/// What the deployments differ in.
+/// The settings in which the deployments differ.
 struct Variant {
     scope: DeduplicationScope,
     deduplication_window_ms: u32,
-    /// Of the idempotent, the keyed and the non-idempotent class.
+    /// Deadlines of the idempotent, the keyed and the non-idempotent class.
     deadlines_ms: [u32; 3],
     max_attempts: usize,
-    /// `None`: clients get no back-off.
+    /// `None`: overload responses carry no back-off.
     max_retry_after_ms: Option<u32>,
     cancellation: bool,
 }
@@ -59,8 +59,8 @@
     }
 }
 
-/// Deadlines from 0.3 to 20 s, windows from 0.8 to 7.5 s with each deduplication scope, 1 to 6
-/// attempts; with and without back-off and cancellation.
+/// The settings of the deployments: deadlines from 0.3 to 20 s, deduplication windows from 0.8 to
+/// 7.5 s with each scope, 1 to 6 attempts, and with and without back-off and cancellation.
 pub fn deployments() -> [Settings; 3] {
     [
         Variant {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A host for tests of the core: it keeps the clock, hands in events and picks out effects.
+//! A fixture for tests of the core: keeps the clock, passes events and filters effects.
 //!
-//! It models no endpoint: each test says how attempts end, and when.
-#![allow(dead_code)] // each test file uses its own part
+//! Endpoints are not simulated: each test decides how and when attempts end.
+#![allow(dead_code)] // each test file uses only a part
 
 #[path = "../../../decisions/tests/common/mod.rs"]
 mod decisions_common;
@@ -24,18 +24,18 @@
 /// The interval at which [`TestCore::advance`] fires the timer.
 const TICK: Duration = Duration::from_millis(5);
 
-/// A core on a clock of the test's own.
+/// A core with a clock that the test controls.
 pub struct TestCore {
     core: Core,
     pub now: Timestamp,
-    /// The core has reported that the dispatcher is ready.
+    /// Whether the core has returned [`Effect::ReportReady`].
     pub is_ready: bool,
     /// The deadline of each class.
     deadlines: Vec<Duration>,
 }
 
 impl TestCore {
-    /// A core whose discovery service lists these endpoints.
+    /// A core for which the discovery service has listed these endpoints.
     pub fn new(settings: Settings, endpoints: &[Endpoint]) -> TestCore {
         TestCore::with_retention(settings, endpoints, Retention::default())
     }
@@ -50,7 +50,7 @@
         core
     }
 
-    /// A core that no source has sent an endpoint list.
+    /// A core that has received no endpoint list.
     pub fn without_list(settings: Settings, retention: Retention) -> TestCore {
         let deadlines = settings
             .classes
@@ -76,12 +76,12 @@
         self.core.overview()
     }
 
-    /// Discovery lists exactly these endpoints.
+    /// Sends a snapshot of discovery with exactly these endpoints.
     pub fn list(&mut self, endpoints: &[Endpoint]) -> Vec<Effect> {
         self.update_list(EndpointListUpdate::Snapshot(endpoints.to_vec()))
     }
 
-    /// Discovery sends an update, as of the start of the test.
+    /// Sends an update of discovery that is current as of the start of the test.
     pub fn update_list(&mut self, update: EndpointListUpdate) -> Vec<Effect> {
         self.update_list_from(EndpointSource::Discovery, START, update)
     }
@@ -99,17 +99,17 @@
         })
     }
 
-    /// A client submits a request that waits for as long as its class allows.
+    /// Submits a request whose remaining time is the deadline of its class.
     pub fn submit(&mut self, class: usize, handle: u64) -> Vec<Effect> {
         self.submit_for(class, handle, self.deadlines[class])
     }
 
-    /// A client submits a request and waits for this long.
+    /// Submits a request with this remaining time.
     pub fn submit_for(&mut self, class: usize, handle: u64, remaining: Duration) -> Vec<Effect> {
         self.submit_as(class, handle, &format!("t{handle}"), remaining)
     }
 
-    /// A client submits a request under this request id.
+    /// Submits a request with this request id and remaining time.
     pub fn submit_as(
         &mut self,
         class: usize,
@@ -145,7 +145,7 @@
         self.reduce(Event::TimerFired)
     }
 
-    /// Lets time pass, with a timer that fires at every tick.
+    /// Advances the clock, and fires the timer every 5 ms and at the end.
     pub fn advance(&mut self, span: Duration) -> Vec<Effect> {
         let end = self.now + span;
         let mut effects = Vec::new();
@@ -201,7 +201,7 @@
     }
 }
 
-/// The outcome of an attempt that was served.
+/// A successful attempt outcome.
 pub fn served() -> AttemptOutcome {
     AttemptOutcome::Served("x".into())
 }
@@ -211,7 +211,7 @@
     ClientResponse::Served("x".into())
 }
 
-/// The attempts that are to be started, each with its endpoint.
+/// The attempts started by these effects, each with its endpoint.
 pub fn started_attempts_at(effects: &[Effect]) -> Vec<(AttemptId, EndpointId)> {
     effects
         .iter()
@@ -224,7 +224,7 @@
         .collect()
 }
 
-/// The attempts that are to be started.
+/// The attempts started by these effects.
 pub fn started_attempts(effects: &[Effect]) -> Vec<AttemptId> {
     started_attempts_at(effects)
         .into_iter()
@@ -232,7 +232,7 @@
         .collect()
 }
 
-/// The final responses, each with the handle of its client.
+/// The final responses in these effects, each with its request handle.
 pub fn responses(effects: &[Effect]) -> Vec<(u64, ClientResponse)> {
     effects
         .iter()
@@ -243,7 +243,7 @@
         .collect()
 }
 
-/// The handles of the clients that get a final response.
+/// The request handles that get a final response.
 pub fn responded_handles(effects: &[Effect]) -> Vec<u64> {
     responses(effects)
         .into_iter()
@@ -251,8 +251,8 @@
         .collect()
 }
 
-/// Whether the only response is an overload response to this client, with a back-off if and only if
-/// the settings allow one, and within their bound.
+/// Whether the only response is an overload response for this handle, with a back-off if and only
+/// if the settings allow one, and not above their maximum.
 pub fn is_only_overload_response(
     settings: &Settings,
     responses: &[(u64, ClientResponse)],
--- a/crates/core/tests/deadlines.rs
+++ b/crates/core/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests: what response is given at the deadline, and when.
+//! Deadlines of requests: which response is sent at the deadline, and when.
 
 mod common;
 
@@ -10,19 +10,20 @@
 use pumiceway_core::*;
 use pumiceway_decisions::api::Idempotency;
 
-/// The response arrives while the client still waits.
+/// The response must arrive while the client still waits.
 #[test]
-fn the_response_is_given_before_the_deadline() {
+fn the_response_is_sent_before_the_deadline() {
     let mut core = TestCore::new(single_class(Idempotency::Idempotent), &[]);
     let mut effects = core.submit_for(ONLY_CLASS, 1, 5_000 * MS);
     effects.extend(core.advance(4_995 * MS));
     assert_eq!(responses(&effects).len(), 1, "{effects:?}");
 }
 
-/// A client that would wait for a day does not make later requests look as if they had waited that
-/// long, which would have them given up at once.
+/// The balancer derives the age of a request from the longest remaining time it has seen: without a
+/// limit, a client that waits for a day would make later requests look a day old and be shed at
+/// once.
 #[test]
-fn a_client_that_waits_very_long_does_not_shorten_the_queue_time_of_others() {
+fn a_very_long_remaining_time_does_not_shorten_the_queue_time_of_others() {
     let mut core = TestCore::new(single_class(Idempotency::Idempotent), &[endpoint("a")]);
     let attempt = started_attempts(&core.submit_for(ONLY_CLASS, 1, 86_400_000 * MS))[0];
     core.end_attempt(attempt, served());
@@ -35,8 +36,8 @@
     assert_eq!(started_attempts(&then).len(), 1, "{then:?}");
 }
 
-/// A request that never ran is shed, so that its client retries, instead of failing. During a
-/// shutdown, the deadline comes sooner than the decisions know.
+/// A request that never ran is shed instead of failing, so that its client can retry. During a
+/// shutdown, the deadline may be earlier than the one the balancer knows.
 #[test]
 fn at_the_deadline_a_request_is_shed_if_it_never_ran_or_may_run_again() {
     for (index, settings) in deployments().into_iter().enumerate() {
@@ -60,7 +61,7 @@
                     assert_eq!(started.len(), endpoint_count);
                     if let Some(outcome) = &outcome {
                         effects = core.end_attempt(started[0], outcome.clone());
-                        // The endpoint is gone, so that there is no retry.
+                        // Without an endpoint there is no retry.
                         effects.extend(core.list(&[]));
                     }
                     effects.extend(core.advance(20_500 * MS));
@@ -68,18 +69,18 @@
                         && matches!(outcome, None | Some(AttemptOutcome::Error));
                     let is_dropped_everywhere = index == 0 && class == KEYED;
                     let may_be_shed = !may_have_run || class == IDEMPOTENT || is_dropped_everywhere;
-                    let given = responses(&effects);
+                    let sent = responses(&effects);
                     let case = format!(
                         "deployment {index}, class {class}, {outcome:?}, \
-                         shutting down {is_shutting_down}: {given:?}"
+                         shutting down {is_shutting_down}: {sent:?}"
                     );
-                    assert!(given.len() == 1, "{case}");
+                    assert!(sent.len() == 1, "{case}");
                     assert_eq!(
-                        is_only_overload_response(&settings, &given, 1),
+                        is_only_overload_response(&settings, &sent, 1),
                         may_be_shed,
                         "{case}"
                     );
-                    let has_failed = matches!(given[0], (1, ClientResponse::Failed(_)));
+                    let has_failed = matches!(sent[0], (1, ClientResponse::Failed(_)));
                     assert!(may_be_shed || has_failed, "{case}");
                 }
             }
@@ -87,7 +88,7 @@
     }
 }
 
-/// The client no longer waits when its request arrives.
+/// Such a request cannot get a result before its client stops waiting.
 #[test]
 fn a_request_with_no_remaining_time_is_shed_at_once() {
     for settings in deployments() {
@@ -105,9 +106,9 @@
     }
 }
 
-/// The shortest remaining time of all clients that wait for a request counts.
+/// The earliest deadline of all clients that wait for a request applies.
 #[test]
-fn a_client_that_joins_a_request_gets_its_response_within_its_own_time() {
+fn a_client_that_joins_a_request_gets_its_response_before_its_own_deadline() {
     for (first, second) in [(9_000, 1_000), (1_000, 9_000)] {
         let mut core = TestCore::new(deployments()[2].clone(), &[endpoint("a")]);
         core.submit_as(NON_IDEMPOTENT, 1, "t", first * MS);
--- a/crates/core/tests/disconnects.rs
+++ b/crates/core/tests/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect before they have their response.
+//! Clients that disconnect before they get their response.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use pumiceway_core::*;
 use pumiceway_decisions::api::Settings;
 
-/// Whatever the request was queued for, whatever happens as its client disconnects, and however
-/// many requests are queued.
+/// Covers requests queued for lack of an endpoint or for a turn at an endpoint in slow start, a
+/// timer that fires before the disconnect, and one or many queued requests.
 #[test]
 fn a_queued_request_of_a_disconnected_client_is_not_sent() {
     for settings in deployments() {
@@ -32,8 +32,8 @@
     timer_first: bool,
     in_slow_start: bool,
 ) {
-    // With many dispatchers, a request waits for its turn at an endpoint in slow start. Otherwise
-    // it waits for an endpoint.
+    // With many dispatchers, requests are queued until their turn at the endpoint in slow start;
+    // otherwise they are queued because there is no endpoint.
     let instance_count = if in_slow_start { 1_000 } else { 1 };
     let mut core = TestCore::new(
         Settings {
@@ -59,7 +59,7 @@
     if timer_first {
         effects.extend(core.fire_timer());
     }
-    // The even handles first, then the odd ones, so that the order of the queue does not matter.
+    // Even handles first, then odd ones, so that clients do not disconnect in queue order.
     for handle in (0..count).step_by(2).chain((0..count).skip(1).step_by(2)) {
         effects.extend(core.disconnect(handle));
     }
@@ -82,9 +82,9 @@
     );
 }
 
-/// The client gets one response if it was still connected, and none otherwise.
+/// The client gets one response if the result came before it disconnected, and none otherwise.
 #[test]
-fn a_client_that_disconnects_as_its_response_is_given_gets_one_or_none() {
+fn a_client_that_disconnects_gets_at_most_one_response() {
     for settings in deployments() {
         for disconnects_first in [true, false] {
             let mut core = TestCore::new(settings.clone(), &[endpoint("a")]);
--- a/crates/core/tests/endpoint_ids.rs
+++ b/crates/core/tests/endpoint_ids.rs
@@ -1,4 +1,4 @@
-//! Handles of endpoints: how long an endpoint keeps its handle, and when a new name gets it.
+//! Endpoint ids: how long an endpoint keeps its id, and when the id is reassigned to a new name.
 
 mod common;
 
@@ -12,26 +12,26 @@
 use std::collections::HashSet;
 use std::ops::Range;
 
-/// Endpoints that are gone and remembered, as in the endpoint set.
-const MAX_GONE: usize = 1_024;
+/// The limit of the endpoint set for gone endpoints that keep their ids.
+const MAX_GONE_ENDPOINTS: usize = 1_024;
 
 fn numbered_endpoint(number: usize) -> Endpoint {
     endpoint(&format!("n{number}"))
 }
 
-/// Lists a single endpoint of a new name, for each of these numbers.
+/// For each of these numbers, sends a list with a single endpoint of a new name.
 fn list_one_by_one(core: &mut TestCore, numbers: Range<usize>) -> Vec<Effect> {
     numbers
         .flat_map(|number| core.list(&[numbered_endpoint(number)]))
         .collect()
 }
 
-/// Whether the idle connections to an endpoint are to be closed, as its handle goes to another.
+/// Whether the idle connections to an endpoint are closed, as its id is reassigned.
 fn closes_idle_connections(effects: &[Effect], endpoint: EndpointId) -> bool {
     effects.contains(&Effect::CloseIdleConnections { endpoint })
 }
 
-/// The address of the first attempt that is to be started.
+/// The address of the first attempt started by these effects.
 fn first_address(effects: &[Effect]) -> Option<&EndpointAddress> {
     effects.iter().find_map(|effect| match effect {
         Effect::StartAttempt { address, .. } => Some(address),
@@ -39,11 +39,11 @@
     })
 }
 
-/// Memory is bounded whatever names are listed: in the core, in the decisions, which have a row for
-/// each handle, and in the host, which keeps the connections to an endpoint until
+/// Memory is bounded however many names are listed: in the core, in the balancer, which has an
+/// entry for each id, and in the event loop, which keeps the connections to an endpoint until
 /// `CloseIdleConnections`.
 #[test]
-fn any_number_of_names_takes_a_bounded_number_of_handles() {
+fn any_number_of_names_takes_a_bounded_number_of_ids() {
     for settings in deployments() {
         let mut core = TestCore::new(settings, &[]);
         let mut connected = HashSet::new();
@@ -68,7 +68,7 @@
                 "{number}: {endpoint:?} is not closed yet"
             );
             assert_eq!(responses(&core.end_attempt(attempt, served())).len(), 1);
-            let (known, max) = (core.overview().endpoints.len(), MAX_GONE + 2);
+            let (known, max) = (core.overview().endpoints.len(), MAX_GONE_ENDPOINTS + 2);
             assert!(
                 known <= max && connected.len() <= max,
                 "{number}: {known} known, {} connected",
@@ -79,10 +79,11 @@
     }
 }
 
-/// A new endpoint under its handle would be blamed, or not tried, for the attempts of one that is
-/// gone. Once nothing refers to that one any more, its handle goes to the next new name.
+/// If the id were reassigned while requests refer to it, the outcomes of their attempts would count
+/// against the new endpoint, or keep them from being sent there. Once no request refers to the id,
+/// it is reassigned.
 #[test]
-fn an_endpoint_with_open_requests_keeps_its_handle() {
+fn an_endpoint_with_open_requests_keeps_its_id() {
     for settings in deployments() {
         let mut core = TestCore::new(settings.clone(), &[]);
         let single_slot = |name: &str| Endpoint {
@@ -90,8 +91,8 @@
             ..endpoint(name)
         };
         core.list(&[single_slot("in-flight"), single_slot("tried")]);
-        // One request is in flight at the first endpoint; another has failed at the second, and is
-        // queued.
+        // One request is in flight at the first endpoint; another one fails at the second and is
+        // queued if the settings allow a further attempt.
         let [(in_flight, busy)] = started_attempts_at(&core.submit(KEYED, 1))[..] else {
             panic!()
         };
@@ -103,8 +104,8 @@
         assert_eq!(started_attempts_at(&failed), []);
         let is_queued = settings.max_attempts > 1;
         let mut effects = Vec::new();
-        for number in 0..3 * MAX_GONE {
-            // Draining, so that nothing is sent there.
+        for number in 0..3 * MAX_GONE_ENDPOINTS {
+            // Draining endpoints, so that the queued request stays queued.
             let state = EndpointState::Draining;
             effects.extend(core.list(&[Endpoint {
                 state,
@@ -120,13 +121,13 @@
             is_closed, !is_queued,
             "a request that was tried there is queued"
         );
-        // The endpoint comes back as it was: its one slot is taken until the attempt ends.
+        // The endpoint returns with its only slot taken until the attempt ends.
         let returned = core.list(&[single_slot("in-flight")]);
         assert_eq!(started_attempts_at(&returned), []);
         assert_eq!(started_attempts_at(&core.submit(IDEMPOTENT, 3)), []);
         let mut ended = core.end_attempt(in_flight, served());
         assert_eq!(responses(&ended)[0], (1, served_response()));
-        // The queued requests are sent there now, one after the other.
+        // The queued requests are now sent there one after the other.
         let mut responded = Vec::new();
         while let Some(&(attempt, endpoint)) = started_attempts_at(&ended).first() {
             assert_eq!(endpoint, busy);
@@ -135,10 +136,10 @@
         }
         responded.sort_unstable();
         assert_eq!(responded, if is_queued { vec![2, 3] } else { vec![3] });
-        let effects = list_one_by_one(&mut core, 4 * MAX_GONE..6 * MAX_GONE);
+        let effects = list_one_by_one(&mut core, 4 * MAX_GONE_ENDPOINTS..6 * MAX_GONE_ENDPOINTS);
         let is_tried_closed = closes_idle_connections(&effects, tried);
         assert!(closes_idle_connections(&effects, busy) && (!is_queued || is_tried_closed));
-        // A late outcome does not affect the endpoint that has the handle now.
+        // A late outcome does not affect the endpoint that has the id now.
         assert!(
             core.end_attempt(in_flight, AttemptOutcome::Reset)
                 .is_empty()
@@ -146,9 +147,10 @@
     }
 }
 
-/// A new endpoint under its handle would be ejected for the health check of one that is gone.
+/// If the id were reassigned, a new endpoint could be ejected for the failed health check of one
+/// that is gone.
 #[test]
-fn an_endpoint_with_a_health_check_in_flight_keeps_its_handle() {
+fn an_endpoint_with_a_health_check_in_flight_keeps_its_id() {
     let [settings, ..] = deployments();
     let settings = Settings {
         health_checks: true,
@@ -168,7 +170,7 @@
     let (checked, check) = health_check.expect("no health check");
     assert_eq!(checked, endpoint);
     core.advance(1_000 * MS);
-    let before = list_one_by_one(&mut core, 0..3 * MAX_GONE);
+    let before = list_one_by_one(&mut core, 0..3 * MAX_GONE_ENDPOINTS);
     assert!(!closes_idle_connections(&before, endpoint));
     let (outcome, report) = (Outcome::Timeout, None);
     core.reduce(Event::HealthChecked {
@@ -177,27 +179,27 @@
         outcome,
         report,
     });
-    let after = list_one_by_one(&mut core, 3 * MAX_GONE..6 * MAX_GONE);
+    let after = list_one_by_one(&mut core, 3 * MAX_GONE_ENDPOINTS..6 * MAX_GONE_ENDPOINTS);
     assert!(closes_idle_connections(&after, endpoint));
 }
 
-/// An outdated list does not bring back an endpoint that has left, and an endpoint that comes back
-/// does not lose its handle to a new name that stands before it in the same list.
+/// An outdated list does not make a gone endpoint ready, and a returning endpoint does not lose its
+/// id to a new name that precedes it in the same list.
 #[test]
-fn an_endpoint_that_comes_back_has_its_handle() {
+fn a_returning_endpoint_keeps_its_id() {
     let [settings, ..] = deployments();
     let mut core = TestCore::new(settings.clone(), &[endpoint("a")]);
-    list_one_by_one(&mut core, 0..MAX_GONE - 1);
+    list_one_by_one(&mut core, 0..MAX_GONE_ENDPOINTS - 1);
     core.update_list(EndpointListUpdate::OutdatedSnapshot(vec![endpoint("a")]));
     assert!(
         started_attempts(&core.submit(IDEMPOTENT, 1)).is_empty(),
         "it has left"
     );
 
-    let endpoints: Vec<Endpoint> = (0..2 * MAX_GONE).map(numbered_endpoint).collect();
+    let endpoints: Vec<Endpoint> = (0..2 * MAX_GONE_ENDPOINTS).map(numbered_endpoint).collect();
     let mut core = TestCore::new(settings, &endpoints);
     core.list(&[]);
-    // All of them left at once, so the first may be forgotten first.
+    // All of them left at once, so the lowest ids are reassigned first.
     core.list(&["new", "n0", "new", "n1"].map(endpoint));
     let known = core.overview().endpoints;
     let index_of = |name: &str| known.iter().position(|endpoint| endpoint.name == name);
@@ -207,5 +209,5 @@
         .iter()
         .filter(|endpoint| endpoint.state == EndpointState::Ready);
     assert_eq!(ready.count(), 3);
-    assert_eq!(known.len(), 2 * MAX_GONE);
+    assert_eq!(known.len(), 2 * MAX_GONE_ENDPOINTS);
 }
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list: what each does to the endpoints that are listed, and to requests.
+//! Updates of the endpoint list, and their effect on listed endpoints and on requests.
 
 mod common;
 
@@ -23,10 +23,10 @@
     assert!(started_attempts(&effects).is_empty(), "{effects:?}");
 }
 
-/// An outdated list that shows an endpoint as ready gets it no request once it drains or is gone.
-/// The endpoint is ready again once it has started anew, or by a delta or a current list.
+/// An endpoint that drains or is gone gets no request if an outdated list shows it as ready. It is
+/// ready again once it has restarted, or with a delta or an up-to-date list.
 #[test]
-fn an_outdated_list_does_not_take_back_that_an_endpoint_drains_or_is_gone() {
+fn an_outdated_list_does_not_make_a_draining_or_gone_endpoint_ready() {
     let restarted = |name: &str| Endpoint {
         started_at: START + MS,
         ..endpoint(name)
@@ -39,7 +39,8 @@
         (std::slice::from_ref(&outdated), "cd"),
         (&[outdated.clone(), outdated.clone()], "cd"),
         (&[outdated_with_restart, outdated.clone()], "acd"),
-        // An endpoint that such a list leaves out does not count as gone.
+        // An endpoint that is missing from an outdated list does not count as gone: a later
+        // outdated list can still show it as ready.
         (
             &[
                 EndpointListUpdate::OutdatedSnapshot(vec![]),
@@ -76,7 +77,7 @@
     }
 }
 
-/// The list of one source says nothing about the endpoints of another.
+/// The lists of different sources are independent.
 #[test]
 fn a_snapshot_replaces_the_list_of_its_own_source_only() {
     let mut core = TestCore::new(single_class(Idempotency::Idempotent), &[endpoint("a")]);
@@ -98,10 +99,10 @@
     );
 }
 
-/// An endpoint may leave the list, or start anew, with attempts in flight, and come back under its
-/// name: each of its slots is freed exactly once.
+/// An endpoint may leave the list or restart while attempts are in flight, and return under the
+/// same name: each of its slots must be freed exactly once.
 #[test]
-fn an_endpoint_that_comes_back_still_has_its_attempts_in_flight() {
+fn a_returning_endpoint_keeps_its_attempts_in_flight() {
     for settings in deployments() {
         for started_at in [Timestamp::ORIGIN, START] {
             for ends_while_gone in [true, false] {
@@ -137,7 +138,7 @@
                     );
                     effects.extend(core.end_attempt(first, served()));
                 }
-                // One slot is free, for the request that is queued or for the new one.
+                // One slot is free, for the queued request or the new one.
                 effects.extend(core.submit(KEYED, 4));
                 effects.extend(core.end_attempt(first, AttemptOutcome::Error));
                 let case = format!("{started_at:?} {ends_while_gone}");
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -1,11 +1,11 @@
-//! What is derived from the job of a request.
+//! The affinity key of a job.
 
 use bytes::Bytes;
 use pumiceway_core::Job;
 
-/// The affinity key stands for the last segment of a path that has more than the class.
+/// Paths that consist of the class only have no affinity key; the query does not count.
 #[test]
-fn the_affinity_key_is_that_of_the_last_path_segment() {
+fn the_affinity_key_depends_on_the_last_path_segment() {
     let affinity_key = |path: &str| {
         let job = Job {
             id: "a".into(),
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,5 +1,5 @@
-//! How long an endpoint list may be used: each row of `docs/design/membership.md`, on a clock of
-//! the test's own.
+//! How long an endpoint list may be used: one case for each row of `docs/design/membership.md`,
+//! with a clock that the test controls.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// A list is used for this long after the last message of its watch.
-const WATCHED: Duration = Duration::from_secs(6);
+/// How long a list is used after the last message of its watch.
+const WATCHED_LEASE: Duration = Duration::from_secs(6);
 
-/// A dispatcher beside a discovery service that lists one endpoint.
+/// A dispatcher with a discovery service that lists one endpoint.
 struct Dispatcher {
     core: TestCore,
     request_count: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that polls discovery, and starts on the list in its configuration.
+    /// A dispatcher that polls discovery, and starts with the bootstrap list of its configuration.
     fn start(max_poll_interval: Duration) -> Dispatcher {
         Dispatcher::start_with(true, max_poll_interval)
     }
@@ -60,18 +60,18 @@
         });
     }
 
-    /// Discovery sends an update.
+    /// Delivers an update of discovery that is current as of now.
     fn update_list(&mut self, update: EndpointListUpdate) {
         self.update_list_as_of(self.core.now, update);
     }
 
-    /// An update that was sent at this time is read only now.
+    /// Delivers an update of discovery that was sent at this earlier time.
     fn update_list_as_of(&mut self, as_of: Timestamp, update: EndpointListUpdate) {
         self.core
             .update_list_from(EndpointSource::Discovery, as_of, update);
     }
 
-    /// Lets time pass at once, with the timer fired at its end.
+    /// Advances the clock in one step, and fires the timer at the end.
     fn advance(&mut self, span: Duration) {
         self.core.now += span;
         self.core.fire_timer();
@@ -101,7 +101,7 @@
     ] {
         let mut dispatcher = Dispatcher::start(10 * SECOND);
         assert!(!dispatcher.sends() && !dispatcher.is_ready());
-        // A failed call says nothing about the list.
+        // A failed call does not confirm the list.
         dispatcher.update_list(EndpointListUpdate::Lost(LeaseSignal::CallFailed));
         assert!(!dispatcher.sends() && !dispatcher.is_ready());
         dispatcher.update_list(confirmation);
@@ -110,22 +110,22 @@
 }
 
 #[test]
-fn a_dispatcher_without_a_confirmed_list_is_ready_after_a_while_and_sends_nothing() {
+fn without_a_confirmed_list_the_dispatcher_becomes_ready_but_sends_nothing() {
     let mut dispatcher = Dispatcher::start(10 * SECOND);
     dispatcher.advance(5 * SECOND);
     assert!(dispatcher.is_ready() && !dispatcher.sends());
 }
 
 #[test]
-fn each_message_of_a_watch_renews_the_lease_and_after_the_last_one_it_expires() {
+fn each_watch_message_renews_the_lease_and_without_messages_it_expires() {
     let mut dispatcher = Dispatcher::start(10 * SECOND);
     dispatcher.update_list(EndpointListUpdate::Delta(vec![]));
     for _ in 0..5 {
-        dispatcher.advance(WATCHED.checked_sub(MS).unwrap());
+        dispatcher.advance(WATCHED_LEASE.checked_sub(MS).unwrap());
         assert!(dispatcher.sends());
         dispatcher.update_list(EndpointListUpdate::Unchanged);
     }
-    dispatcher.advance(WATCHED);
+    dispatcher.advance(WATCHED_LEASE);
     assert!(!dispatcher.sends());
     // A heartbeat on a new watch confirms the list again.
     dispatcher.update_list(EndpointListUpdate::Unchanged);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_message_that_is_read_late_counts_from_when_it_can_have_been_sent() {
+fn a_message_that_is_read_late_renews_the_lease_from_its_earliest_send_time() {
     let mut dispatcher = Dispatcher::start(10 * SECOND);
     dispatcher.update_list(EndpointListUpdate::Delta(vec![]));
     dispatcher.advance(5 * SECOND);
@@ -181,7 +181,8 @@
     assert!(dispatcher.sends());
     dispatcher.advance(MS);
     assert!(!dispatcher.sends());
-    // Once it is too old it renews nothing, and one older than the last message changes nothing.
+    // A message that is too old renews nothing, and one older than the last message changes
+    // nothing.
     dispatcher.update_list_as_of(START + SECOND, EndpointListUpdate::Unchanged);
     assert!(!dispatcher.sends());
     dispatcher.update_list(EndpointListUpdate::Unchanged);
@@ -203,7 +204,7 @@
     assert!(!dispatcher.sends());
     dispatcher.update_list(EndpointListUpdate::Delta(vec![]));
     assert!(dispatcher.sends());
-    // A silent watch has not ended until it is given up.
+    // A silent watch does not count as ended until it is given up.
     dispatcher.advance(3 * SECOND);
     assert!(dispatcher.sends());
     dispatcher.update_list(EndpointListUpdate::Lost(LeaseSignal::WatchEnded));
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn an_outdated_list_renews_no_lease_and_its_deltas_take_no_drain_back() {
+fn an_outdated_list_neither_renews_the_lease_nor_makes_a_draining_endpoint_ready() {
     let mut dispatcher = Dispatcher::start(10 * SECOND);
     let ready = || vec![listed(EndpointState::Ready)];
     let draining = vec![listed(EndpointState::Draining)];
@@ -236,7 +237,7 @@
     dispatcher.core.reduce(Event::LeaseRequired { source });
     let snapshot = EndpointListUpdate::Snapshot(vec![endpoint("node")]);
     dispatcher.core.update_list_from(source, START, snapshot);
-    dispatcher.advance(WATCHED.checked_sub(MS).unwrap());
+    dispatcher.advance(WATCHED_LEASE.checked_sub(MS).unwrap());
     assert!(dispatcher.sends());
     let watch_ended = EndpointListUpdate::Lost(LeaseSignal::WatchEnded);
     dispatcher
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn a_former_address_of_discovery_renews_no_lease() {
+fn the_previous_address_of_discovery_renews_no_lease() {
     let mut dispatcher = Dispatcher::start(10 * SECOND);
     dispatcher.update_list(EndpointListUpdate::Delta(vec![]));
     dispatcher.configure("elsewhere:1");
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn the_first_byte_of_an_attempt_is_to_be_written_by_the_end_of_the_lease() {
+fn the_first_byte_of_an_attempt_must_be_written_before_the_lease_expires() {
     let mut dispatcher = Dispatcher::start(10 * SECOND);
     dispatcher.update_list(EndpointListUpdate::Delta(vec![]));
     let effects = dispatcher
@@ -292,5 +293,5 @@
         Effect::StartAttempt { write_by, .. } => Some(*write_by),
         _ => None,
     });
-    assert_eq!(write_by, Some(Some(START + WATCHED)), "{effects:?}");
+    assert_eq!(write_by, Some(Some(START + WATCHED_LEASE)), "{effects:?}");
 }
--- a/crates/core/tests/repeats.rs
+++ b/crates/core/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! Requests that are submitted again under the same request id or the same unique id.
+//! Requests that are submitted again with the same request id or the same unique id.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request with its job changed.
+/// A copy of the request with a modified job.
 fn with_job(request: &ClientRequest, change: fn(&mut Job)) -> ClientRequest {
     let mut job = (*request.job).clone();
     change(&mut job);
@@ -22,10 +22,10 @@
     }
 }
 
-/// The request of another client is not taken for the open one. Once that has its response, its id
-/// may be used again, but not if the request must not run twice.
+/// A request with other content does not join the open one. Once the open request has its response,
+/// its id can be used again, unless the class is non-idempotent.
 #[test]
-fn an_open_request_id_is_rejected_for_another_path_and_free_again_if_it_may_run_again() {
+fn an_open_request_id_is_rejected_for_another_path_and_reusable_later_if_idempotent() {
     for (idempotency, runs_again) in [
         (Idempotency::NonIdempotent, 0),
         (Idempotency::Idempotent, 1),
@@ -47,9 +47,9 @@
     }
 }
 
-/// A client may submit its request again on a new connection before the end of its first one is
-/// noticed. Whichever comes first, the request runs once and every connected client gets the
-/// response.
+/// A client may submit its request again on a new connection before the dispatcher notices that the
+/// first one is closed. In either order, the request runs once and every connected client gets
+/// the response.
 #[test]
 fn a_repeated_request_joins_the_open_one() {
     for settings in deployments() {
@@ -70,15 +70,16 @@
                     !effects.contains(&Effect::AbortAttempt { attempt }),
                     "{effects:?}"
                 );
-                let given = responses(&core.end_attempt(attempt, served()));
+                let sent = responses(&core.end_attempt(attempt, served()));
                 let connected = [1, 2]
                     .into_iter()
                     .filter(|handle| Some(*handle) != disconnecting);
                 let expected: Vec<_> = connected
                     .map(|handle| (handle, served_response()))
                     .collect();
-                assert_eq!(given, expected, "{class} {disconnecting:?}");
-                // Once all its clients have disconnected it is cancelled, if that is allowed.
+                assert_eq!(sent, expected, "{class} {disconnecting:?}");
+                // It is cancelled once all its clients have disconnected, if the settings allow
+                // cancellation.
                 let attempt = started_attempts(&core.submit_as(class, 3, "u", remaining))[0];
                 core.submit_as(class, 4, "u", remaining);
                 let abort = Effect::AbortAttempt { attempt };
@@ -89,7 +90,7 @@
     }
 }
 
-/// The request of one client is not taken for that of another.
+/// Guards against a client getting the response to the request of another.
 #[test]
 fn an_open_request_id_with_other_content_is_rejected() {
     let settings = &deployments()[2];
@@ -120,10 +121,10 @@
     }
 }
 
-/// The first connection of a client may be found closed before the client submits its request
-/// again: the request must not run twice.
+/// The dispatcher may notice that the connection of a client is closed before the client submits
+/// its request again: unless its class is idempotent, the request must not run twice.
 #[test]
-fn the_id_of_a_request_that_may_have_run_runs_again_only_if_its_class_allows() {
+fn a_request_that_may_have_run_runs_again_only_if_its_class_allows() {
     let outcomes = [
         (None, true),
         (Some(AttemptOutcome::Error), true),
@@ -141,7 +142,7 @@
                 let mut first = vec![];
                 if let Some(outcome) = outcome.clone() {
                     first = core.end_attempt(attempt, outcome);
-                    // If it waits for another endpoint, its client disconnects.
+                    // The request may be queued for another endpoint; its client disconnects.
                     assert!(
                         started_attempts(&first).is_empty(),
                         "there is no other endpoint"
@@ -151,24 +152,25 @@
                 } else {
                     first.extend(core.disconnect(1));
                 }
-                // A request that was shed may be submitted again whatever its class is.
+                // A request that was shed may be submitted again in any class.
                 let was_shed = matches!(
                     responses(&first)[..],
                     [(1, ClientResponse::Overloaded { .. })]
                 );
                 let again = core.submit_as(class, 2, "t", remaining);
                 let started_count = started_attempts(&again).len();
-                let given = responses(&again);
+                let sent = responses(&again);
                 let case = format!("deployment {index}, class {class}, {outcome:?}: {again:?}");
                 let is_in_flight = outcome.is_none() && !settings.cancellation;
                 match class {
-                    // The first attempt could not be cancelled: no second one is sent beside it.
-                    _ if is_in_flight => assert!(started_count == 0 && given.len() == 1, "{case}"),
+                    // The first attempt could not be cancelled: no second one is started while
+                    // it is in flight.
+                    _ if is_in_flight => assert!(started_count == 0 && sent.len() == 1, "{case}"),
                     IDEMPOTENT => assert_eq!(started_count, 1, "{case}"),
                     _ if was_shed || !may_have_run => assert_eq!(started_count, 1, "{case}"),
                     _ => {
                         assert_eq!(started_count, 0, "{case}");
-                        let has_failed = matches!(given[..], [(2, ClientResponse::Failed(_))]);
+                        let has_failed = matches!(sent[..], [(2, ClientResponse::Failed(_))]);
                         assert!(has_failed, "{case}");
                     }
                 }
@@ -177,36 +179,36 @@
     }
 }
 
-/// Runs a non-idempotent request to its end.
+/// Runs a non-idempotent request to completion.
 fn run_request(core: &mut TestCore, handle: u64) {
     let attempt = started_attempts(&core.submit(NON_IDEMPOTENT, handle))[0];
     core.end_attempt(attempt, served());
-    // Each request ends at a time of its own.
+    // No two requests end at the same time.
     core.now += Duration::from_micros(1);
 }
 
-/// Whether a non-idempotent request runs under this request id.
-fn runs(core: &mut TestCore, id: &str) -> bool {
+/// Whether a non-idempotent request with this request id is started.
+fn can_run(core: &mut TestCore, id: &str) -> bool {
     let effects = core.submit_as(NON_IDEMPOTENT, 1_000_000, id, 9_000 * MS);
     core.disconnect(1_000_000);
     !started_attempts(&effects).is_empty()
 }
 
-/// Memory does not grow with every request, and the ids that were consumed last are known.
+/// Memory is bounded, and the most recently consumed ids are kept.
 #[test]
 fn consumed_ids_are_remembered_for_their_lifetime_and_up_to_a_maximum() {
     let settings = &deployments()[2];
     let mut core = TestCore::new(settings.clone(), &[endpoint("a")]);
     run_request(&mut core, 1);
     core.advance(19_990 * MS);
-    assert!(!runs(&mut core, "t1"));
+    assert!(!can_run(&mut core, "t1"));
     core.advance(20 * MS);
-    assert!(runs(&mut core, "t1"));
+    assert!(can_run(&mut core, "t1"));
     for handle in 2..=4_200 {
         run_request(&mut core, handle);
     }
-    assert!(!runs(&mut core, "t4200") && !runs(&mut core, "t200"));
-    assert!(runs(&mut core, "t2"), "the oldest is forgotten");
+    assert!(!can_run(&mut core, "t4200") && !can_run(&mut core, "t200"));
+    assert!(can_run(&mut core, "t2"), "the oldest id is still consumed");
 }
 
 /// A non-idempotent request with a unique id.
@@ -218,7 +220,7 @@
     }
 }
 
-/// No cached response is evicted early, and one that has expired makes room.
+/// No cached response is evicted before it expires; an expired one makes room.
 #[test]
 fn with_a_full_idempotency_cache_new_unique_ids_are_shed_until_a_response_expires() {
     for settings in deployments() {
@@ -240,7 +242,7 @@
         assert_eq!(running.len(), 2);
         let third = responses(&submit(&mut core, 3, "w"));
         assert!(is_only_overload_response(&settings, &third, 3));
-        // A unique id that is known, running or cached, needs no room.
+        // Requests with a known unique id, running or cached, need no room.
         assert!(submit(&mut core, 4, "u").is_empty());
         assert_eq!(
             responded_handles(&core.end_attempt(running[0], served())),
--- a/crates/core/tests/shutdown.rs
+++ b/crates/core/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown: its schedule, and the responses that are owed before the exit.
+//! The shutdown: its schedule, and the responses that must be sent before the exit.
 
 mod common;
 
@@ -10,9 +10,10 @@
 use pumiceway_core::*;
 use pumiceway_decisions::api::{Idempotency, Settings};
 
-/// The deadline of a request that arrives late is shortened, and that of an earlier one is not.
+/// The deadline of a request that arrives more than 0.6 s after the signal is shortened; that of an
+/// earlier request is not.
 #[test]
-fn a_late_request_has_its_response_before_the_end_is_forced() {
+fn a_late_request_gets_its_response_before_sigkill() {
     let endpoints = ["a", "b"].map(endpoint);
     let mut core = TestCore::new(single_class(Idempotency::NonIdempotent), &endpoints);
     core.reduce(Event::ShutdownRequested);
@@ -32,10 +33,10 @@
     assert_eq!(responses(&core.advance(1_700 * MS)).len(), 1);
 }
 
-/// The shorter the deadlines, the sooner the end is forced: with a longest deadline of one second,
-/// before the two seconds are over for which the frontends otherwise stay open.
+/// With shorter deadlines, SIGKILL comes sooner: with a longest deadline of 1 s, it comes before
+/// the 2 s for which the frontends stay open otherwise.
 #[test]
-fn with_short_deadlines_the_frontends_close_before_the_end_is_forced() {
+fn with_short_deadlines_the_frontends_close_before_sigkill() {
     for (deadline_ms, closes_after_ms, responds_by_ms) in [
         (1_000, 600, 1_400),
         (2_000, 1_000, 2_400),
@@ -54,16 +55,16 @@
         assert!(!before.contains(&Effect::CloseFrontends), "{deadline_ms}");
         let closing = core.advance(40 * MS);
         assert!(closing.contains(&Effect::CloseFrontends), "{deadline_ms}");
-        // A request that arrives as the frontends close, and that has no result in time.
+        // A request that arrives as the frontends close, and gets no result in time.
         let mut effects = core.submit_for(ONLY_CLASS, 1, deadline_ms * MS);
         effects.extend(core.advance((responds_by_ms - closes_after_ms - 20) * MS));
         assert_eq!(responses(&effects).len(), 1, "{deadline_ms}: {effects:?}");
     }
 }
 
-/// The frontends stay open at first, for clients that have not heard of the shutdown.
+/// The frontends stay open at first, as clients may not know of the shutdown yet.
 #[test]
-fn the_exit_waits_for_the_frontends_and_for_open_requests() {
+fn exit_waits_for_the_frontends_and_for_open_requests() {
     let mut core = TestCore::new(single_class(Idempotency::Idempotent), &[endpoint("a")]);
     core.reduce(Event::ShutdownRequested);
     let attempt = started_attempts(&core.submit_for(ONLY_CLASS, 1, 4_000 * MS))[0];
@@ -77,9 +78,10 @@
     assert!(ended.contains(&Effect::Exit), "{ended:?}");
 }
 
-/// Whether the frontends close before or after `CloseFrontends`, and whatever comes in between.
+/// Holds whether the frontends close before or after `CloseFrontends`, and with repeated signals
+/// and new configurations during the shutdown.
 #[test]
-fn the_exit_comes_once_and_after_all_responses() {
+fn exit_is_returned_once_and_after_all_responses() {
     for (index, settings) in deployments().into_iter().enumerate() {
         let longest_deadline = settings
             .classes
@@ -87,12 +89,12 @@
             .map(|class| class.deadline)
             .max()
             .unwrap();
-        let forced_end = longest_deadline.min(3_000 * MS) + 700 * MS;
-        for closes_early in [true, false] {
+        let kill_after = longest_deadline.min(3_000 * MS) + 700 * MS;
+        for close_early in [true, false] {
             for repeated_signals in [0, 1, 3] {
                 let mut core = TestCore::new(settings.clone(), &["a", "b", "c"].map(endpoint));
                 let mut effects = core.submit(NON_IDEMPOTENT, 1);
-                if closes_early {
+                if close_early {
                     effects.extend(core.reduce(Event::FrontendsClosed));
                 }
                 effects.extend(core.reduce(Event::ShutdownRequested));
@@ -108,37 +110,46 @@
                     }));
                 }
                 while !effects.contains(&Effect::CloseFrontends) {
-                    let is_forced = core.now >= signal_at + forced_end;
-                    assert!(!is_forced, "deployment {index}: the frontends stay open");
+                    let is_killed = core.now >= signal_at + kill_after;
+                    assert!(!is_killed, "deployment {index}: the frontends stay open");
                     effects.extend(core.advance(5 * MS));
                 }
                 effects.extend(core.submit(IDEMPOTENT, 3));
-                if !closes_early {
+                if !close_early {
                     effects.extend(core.reduce(Event::FrontendsClosed));
                 }
                 let started = started_attempts(&effects);
                 assert_eq!(started.len(), 3, "deployment {index}");
-                // A request on a connection that is still open has its response before the end is
-                // forced.
+                // A request that arrives on a connection that is still open must get its response
+                // before SIGKILL.
                 for attempt in &started[..2] {
-                    let is_over = effects.contains(&Effect::Exit);
-                    assert!(!is_over, "deployment {index}: a response is owed");
+                    let has_exited = effects.contains(&Effect::Exit);
+                    assert!(
+                        !has_exited,
+                        "deployment {index}: exited before all responses"
+                    );
                     effects.extend(core.end_attempt(*attempt, served()));
                 }
-                let is_over = effects.contains(&Effect::Exit);
-                assert!(!is_over, "deployment {index}: a response is owed");
-                let until_end = (signal_at + forced_end).saturating_duration_since(core.now);
-                effects.extend(core.advance(until_end));
+                let has_exited = effects.contains(&Effect::Exit);
+                assert!(
+                    !has_exited,
+                    "deployment {index}: exited before all responses"
+                );
+                let until_kill = (signal_at + kill_after).saturating_duration_since(core.now);
+                effects.extend(core.advance(until_kill));
                 let mut responded = responded_handles(&effects);
                 responded.sort_unstable();
                 assert_eq!(responded, [1, 2, 3], "deployment {index}");
-                let is_over = effects.contains(&Effect::Exit);
-                assert!(is_over, "deployment {index}, early {closes_early}: no exit");
+                let has_exited = effects.contains(&Effect::Exit);
+                assert!(
+                    has_exited,
+                    "deployment {index}, early {close_early}: no exit"
+                );
                 effects.extend(core.reduce(Event::FrontendsClosed));
                 effects.extend(core.reduce(Event::ShutdownRequested));
                 effects.extend(core.advance(5_000 * MS));
                 let case = format!(
-                    "deployment {index}, early {closes_early}, repeated signals {repeated_signals}"
+                    "deployment {index}, early {close_early}, repeated signals {repeated_signals}"
                 );
                 let count = |kind: &Effect| effects.iter().filter(|effect| *effect == kind).count();
                 assert_eq!(count(&Effect::Exit), 1, "{case}");
