--- a/crates/net/src/event_loop/clock.rs
+++ b/crates/net/src/event_loop/clock.rs
@@ -1,20 +1,20 @@
-//! The clock that the core is told.
+//! The clock of the core.
 
 use pumiceway_decisions::api::Timestamp;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Wall-clock time at the start, and from then on monotonic: steps of the wall clock do not reach
-/// the core. The start times of endpoints, which discovery gives in wall-clock time, can still be
-/// compared with it.
+/// A monotonic clock that is set to wall-clock time once, when it is created. Steps of the wall
+/// clock do not affect the core, and timestamps can still be compared with the start times of
+/// endpoints, which discovery reports in wall-clock time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    /// Microseconds since the Unix epoch at the start.
+    /// Wall-clock time at `started`, in microseconds since the Unix epoch.
     unix_micros: u64,
 }
 
 impl Clock {
-    /// A clock that shows wall-clock time now.
+    /// Creates a clock that is set to the current wall-clock time.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -25,18 +25,20 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.timestamp(Instant::now())
     }
 
-    /// A moment on this clock; its start for an earlier one.
+    /// Converts an instant to a timestamp. Instants before the clock was created are clamped to its
+    /// start.
     pub fn timestamp(&self, at: Instant) -> Timestamp {
         let elapsed = at.saturating_duration_since(self.started);
         Timestamp::from_micros(self.unix_micros + elapsed.as_micros() as u64)
     }
 
-    /// The moment at which this clock shows a time.
+    /// Converts a timestamp to an instant. Timestamps before the clock was created are clamped to
+    /// its start.
     pub fn instant(&self, at: Timestamp) -> Instant {
         self.started + Duration::from_micros(at.as_micros().saturating_sub(self.unix_micros))
     }
--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher: its listeners, its frontends and its sources of endpoints, around one event loop.
+//! The dispatcher: listeners, frontends and sources of endpoints around one event loop.
 
 use super::{Clock, EventLoop, Inputs, SOURCE_CHANNEL_CAPACITY};
 use crate::config::{Config, GearmanConfig, Reload, ZooKeeperConfig};
@@ -6,7 +6,7 @@
 use crate::discovery::zookeeper::ZooKeeperSource;
 use crate::frontend::EventSender;
 use crate::frontend::gearman::GearmanFrontend;
-use crate::frontend::gearman::workers::{SessionKinds, WorkerSessions};
+use crate::frontend::gearman::workers::{MAX_CLASSES, SessionKinds, WorkerSessions};
 use crate::frontend::http::HttpFrontend;
 use pumiceway_core::{Core, EndpointSource, Event, Retention};
 use std::io;
@@ -16,25 +16,25 @@
 use tokio::task::JoinSet;
 use tracing::info;
 
-/// A dispatcher whose listeners are bound.
+/// A dispatcher with bound listeners.
 pub struct Dispatcher {
     config: Config,
     gearman: Option<GearmanListener>,
     listener: TcpListener,
 }
 
-/// The Gearman frontend's configuration and its listener.
+/// The configuration and the listener of the Gearman frontend.
 struct GearmanListener {
     config: GearmanConfig,
     listener: TcpListener,
 }
 
 impl Dispatcher {
-    /// Binds the listeners that the configuration names.
+    /// Binds the listeners of the configuration.
     ///
     /// # Errors
     ///
-    /// An address that cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub async fn bind(mut config: Config) -> io::Result<Dispatcher> {
         let listener = TcpListener::bind(config.listen).await?;
         let gearman = match config.gearman.take() {
@@ -51,11 +51,11 @@
         })
     }
 
-    /// The addresses of the HTTP frontend and of the Gearman frontend.
+    /// Returns the local addresses of the HTTP frontend and of the Gearman frontend.
     ///
     /// # Errors
     ///
-    /// The system does not tell them.
+    /// Returns an error if the operating system cannot provide an address.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
         let gearman = self
             .gearman
@@ -64,12 +64,13 @@
         Ok((self.listener.local_addr()?, gearman.transpose()?))
     }
 
-    /// Serves until `shutdown` is ready and all requests have their responses. Configurations that
-    /// are read meanwhile come through `reloads`.
+    /// Serves until `shutdown` completes and all requests have been answered. `reloads` delivers
+    /// the configurations that are reloaded meanwhile.
     ///
     /// # Errors
     ///
-    /// Settings that cannot work, or an address that the system does not tell.
+    /// Returns an error if the settings are invalid or the operating system cannot provide an
+    /// address.
     pub async fn run(
         self,
         shutdown: impl Future<Output = ()>,
@@ -150,11 +151,11 @@
 }
 
 impl EventLoop {
-    /// Lists the endpoints that have a node in ZooKeeper. The list is used only while the ensemble
+    /// Starts the ZooKeeper source. Its list requires a lease: it is used only while the ensemble
     /// confirms it.
     fn watch_zookeeper(&mut self, config: ZooKeeperConfig, updates: mpsc::Sender<SourceUpdate>) {
         let source = EndpointSource::ZooKeeper;
-        self.feed(Event::LeaseRequired { source });
+        self.process_event(Event::LeaseRequired { source });
         let source = ZooKeeperSource {
             config,
             settings: self.settings.clone(),
@@ -164,7 +165,7 @@
     }
 }
 
-/// Sends an event once no frontend serves any more.
+/// Sends [`Event::FrontendsClosed`] once all frontends have ended.
 fn spawn_close_notification(mut frontends: JoinSet<()>, events: EventSender) {
     tokio::spawn(async move {
         while frontends.join_next().await.is_some() {}
@@ -172,8 +173,9 @@
     });
 }
 
-/// Gives the Gearman frontend its sockets and its kinds of endpoint, lets requests of all frontends
-/// queue for its workers, and makes the table of its worker sessions.
+/// Adapts the configuration to the Gearman frontend and creates its worker sessions: reserves its
+/// connections in the socket budget, adds the machine kinds of worker sessions, and enables
+/// queueing for the requests of all frontends.
 fn prepare_gearman(
     config: &mut Config,
     gearman: &GearmanConfig,
@@ -181,7 +183,7 @@
 ) -> io::Result<WorkerSessions> {
     config.socket_budget.inbound -= gearman.connections.min(config.socket_budget.inbound / 2);
     let kinds = SessionKinds::add(&mut config.settings)
-        .ok_or_else(|| io::Error::other("gearman: too many classes to tell workers apart by"))?;
+        .ok_or_else(|| io::Error::other(format!("gearman: more than {MAX_CLASSES} classes")))?;
     for class in &mut config.settings.classes {
         class.max_queue_time = class.max_queue_time.or(Some(class.deadline));
     }
--- a/crates/net/src/event_loop/effects.rs
+++ b/crates/net/src/event_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out the effects of the core.
+//! Execution of the effects of the core.
 
 use super::watch::WatchTask;
 use super::{EventLoop, PendingClient, RunningAttempt};
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use tracing::{debug, error, info, warn};
 
-/// Sends what becomes of an attempt to the event loop.
+/// Forwards the progress and the outcome of an attempt to the event loop.
 struct AttemptReporter {
     events: EventSender,
     attempt: AttemptId,
@@ -42,7 +42,7 @@
 }
 
 impl EventLoop {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::StartAttempt {
                 attempt,
@@ -56,7 +56,7 @@
                 write_by,
             } => {
                 let class_name = self.class_name(class);
-                // Ties the attempt to its request and its endpoint in the log.
+                // Correlates the attempt with its request and its endpoint in the log.
                 debug!(
                     request_id = job.id,
                     attempt = attempt.0,
@@ -85,7 +85,7 @@
             Effect::Respond { handle, response } => {
                 if let Some(client) = self.clients.remove(&handle) {
                     self.log_response(&client, &response);
-                    // A client that has just left needs none.
+                    // The client may have disconnected in the meantime.
                     let _ = client.response.send(response);
                 }
             }
@@ -129,7 +129,7 @@
         job: &Job,
         options: AttemptOptions,
     ) {
-        // An endpoint must not be blamed for a connection that there was no descriptor for.
+        // Reported as `NotSent`: a lack of local descriptors must not count against the endpoint.
         if self.attempts.len() >= self.upstreams.max_sockets() || !self.ensure_free_socket() {
             let limit = self.upstreams.max_sockets();
             warn!(
@@ -204,7 +204,7 @@
         check: HealthCheckId,
         address: EndpointAddress,
     ) {
-        let ended = move |outcome, report| Event::HealthChecked {
+        let health_checked = move |outcome, report| Event::HealthChecked {
             endpoint,
             check,
             outcome,
@@ -217,11 +217,11 @@
                 let (outcome, report) = workers.map_or((Outcome::ConnectFailed, None), |workers| {
                     workers.check_health(session)
                 });
-                return self.events.send(ended(outcome, report));
+                return self.events.send(health_checked(outcome, report));
             }
         };
         if !self.ensure_free_socket() {
-            return self.events.send(ended(Outcome::NotSent, None));
+            return self.events.send(health_checked(Outcome::NotSent, None));
         }
         let client = self.upstreams.client(self.clock.now(), endpoint, &address);
         let events = self.events.clone();
@@ -233,10 +233,11 @@
                 ?report,
                 "health check ended"
             );
-            events.send(ended(outcome, report));
+            events.send(health_checked(outcome, report));
         });
     }
 
+    /// Ensures that a socket is free, without evicting endpoints that have an attempt in flight.
     fn ensure_free_socket(&mut self) -> bool {
         let busy: HashSet<EndpointId> = self
             .attempts
@@ -263,14 +264,15 @@
             .map_or("?", |class| &class.name)
     }
 
-    /// Failures are logged for the operators; the rest would be too much.
+    /// Logs failed requests at `warn` and rejected ones at `info`; the others only at `debug`,
+    /// because there are too many of them.
     fn log_response(&self, client: &PendingClient, response: &ClientResponse) {
         let request_id = &client.job.id;
         let class = self.class_name(client.class);
         let elapsed_ms = self
             .clock
             .now()
-            .saturating_duration_since(client.since)
+            .saturating_duration_since(client.submitted_at)
             .as_millis() as u64;
         let outcome = response.as_str();
         match response {
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -1,10 +1,10 @@
-//! The event loop: carries out the effects of the core, and returns their results to it as events.
+//! The event loop: executes the effects of the core and feeds their results back to it as events.
 //!
-//! The core is a state machine without I/O; this is the thin asynchronous part around it. One task
-//! owns the core and all that is in flight, so nothing here is locked. Frontends, attempts and
-//! health checks run as tasks of their own and send [`LoopMessage`]s. Endpoint lists come through
-//! channels of their own, which hold one update, so that a source that sends without end has to
-//! wait. Messages that have come go before the timer.
+//! The core is a state machine without I/O; this module is the asynchronous layer around it. One
+//! task owns the core and everything in flight, so no locks are needed. Frontends, attempts and
+//! health checks run as separate tasks and send [`LoopMessage`]s. Endpoint lists arrive through
+//! separate channels with a capacity of one update, so that a source that sends continuously is
+//! subject to back-pressure. Pending messages are handled before the timer.
 
 mod clock;
 mod dispatcher;
@@ -36,27 +36,27 @@
 use upstreams::Upstreams;
 use watch::WatchTask;
 
-/// Messages that are taken in at a time.
+/// Maximum number of messages handled per batch.
 const MAX_BATCH_MESSAGES: usize = 1_024;
-/// Updates of a source that may wait here. A source that has more waits, and reads no further:
-/// otherwise a service that sends without end would fill the memory.
+/// Capacity of the channel of a source of endpoints. While the channel is full, the source stops
+/// reading; otherwise a service that sends continuously would exhaust the memory.
 const SOURCE_CHANNEL_CAPACITY: usize = 1;
 
-/// What the event loop waits for.
+/// The channels that the event loop receives from.
 struct Inputs {
     messages: mpsc::UnboundedReceiver<LoopMessage>,
     zookeeper: mpsc::Receiver<SourceUpdate>,
     reloads: mpsc::UnboundedReceiver<Reload>,
 }
 
-/// A client that waits for its response.
+/// A client that is waiting for its response.
 struct PendingClient {
     response: oneshot::Sender<ClientResponse>,
-    /// Where progress goes, if the client wants any.
+    /// Receives progress, if the client subscribed to it.
     updates: Option<mpsc::UnboundedSender<AttemptUpdate>>,
     job: Arc<Job>,
     class: ClassId,
-    since: Timestamp,
+    submitted_at: Timestamp,
 }
 
 /// An attempt in flight over HTTP.
@@ -66,33 +66,33 @@
     task: AbortHandle,
 }
 
-/// Owns the core and what it has in flight.
+/// Owns the core and everything in flight.
 struct EventLoop {
     clock: Clock,
     core: Core,
     events: EventSender,
     settings: Arc<DeploymentSettings>,
-    /// The worker sessions, where there is a Gearman frontend.
+    /// The worker sessions, if the Gearman frontend is enabled.
     workers: Option<WorkerSessions>,
     upstreams: Upstreams,
     attempts: HashMap<AttemptId, RunningAttempt>,
     clients: HashMap<RequestHandle, PendingClient>,
-    /// The dispatcher reports itself as ready.
+    /// Whether the dispatcher reports itself as ready.
     ready: Arc<AtomicBool>,
-    /// Set once the frontends are to close.
+    /// Set to true to close the frontends.
     close_frontends: watch_channel::Sender<bool>,
-    /// When the core's timer fires.
+    /// When the core's timer fires, if it is set.
     timer: Option<Timestamp>,
     exit: bool,
-    /// The watch whose updates confirm the list.
+    /// The watch whose updates renew the lease on the endpoint list.
     watch: Option<WatchTask>,
-    /// After a move of discovery: the watch at its new address, until its first update other than
-    /// `Lost`.
+    /// After a reload that changed the address of discovery: the watch at the new address, until
+    /// its first update other than `Lost`.
     next_watch: Option<WatchTask>,
 }
 
 impl EventLoop {
-    /// A loop that knows no endpoint yet, without a Gearman frontend.
+    /// Creates an event loop without endpoints and without a Gearman frontend.
     fn new(
         clock: Clock,
         core: Core,
@@ -126,22 +126,22 @@
     ) {
         let (source, as_of) = (EndpointSource::Discovery, self.clock.now());
         let update = EndpointListUpdate::Bootstrap(bootstrap_list);
-        self.feed(Event::EndpointListUpdated {
+        self.process_event(Event::EndpointListUpdated {
             source,
             as_of,
             update,
         });
         if discovery.is_none() {
-            // There is no service that could confirm the list, so an empty change confirms it for
-            // good.
+            // Without a discovery service nothing else would confirm the list; an empty delta
+            // confirms it permanently.
             let update = EndpointListUpdate::Delta(vec![]);
-            self.feed(Event::EndpointListUpdated {
+            self.process_event(Event::EndpointListUpdated {
                 source,
                 as_of,
                 update,
             });
         }
-        self.feed(Event::Configured {
+        self.process_event(Event::Configured {
             discovery,
             list_version,
             restart_required: vec![],
@@ -164,7 +164,7 @@
                 update = WatchTask::next(&mut self.next_watch) => self.on_next_watch_update(update),
                 Some(Reload { discovery, restart_required }) = inputs.reloads.recv() => {
                     let discovery = Some(discovery);
-                    self.feed(Event::Configured { discovery, list_version: None, restart_required });
+                    self.process_event(Event::Configured { discovery, list_version: None, restart_required });
                 }
                 () = timer_fires, if timer.is_some() => {
                     batch.extend(std::iter::from_fn(|| inputs.messages.try_recv().ok()).take(MAX_BATCH_MESSAGES));
@@ -172,24 +172,24 @@
                 }
                 () = shutdown.as_mut(), if !shutting_down => {
                     shutting_down = true;
-                    self.feed(Event::ShutdownRequested);
+                    self.process_event(Event::ShutdownRequested);
                 }
             }
         }
     }
 
-    /// The timer has fired, and these messages have come by now. They go first: a response that has
-    /// come, or a client's leaving, makes the timeout or the send needless that the timer would
-    /// cause.
+    /// Handles the timer and the messages that were pending when it fired. The messages are handled
+    /// first: a response or a disconnection among them may make unnecessary the timeout or the
+    /// attempt that the timer would cause.
     fn on_timer(&mut self, batch: &mut Vec<LoopMessage>) {
-        // Before the messages, as they may set the timer anew.
+        // Cleared before the messages are handled, because they may set the timer again.
         self.timer = None;
         self.handle_batch(batch);
-        self.feed(Event::TimerFired);
+        self.process_event(Event::TimerFired);
     }
 
-    /// Takes messages in, in order and in one go: nothing that they start is under way before all
-    /// are known.
+    /// Handles messages in order without yielding in between: no task that they spawn runs before
+    /// all of them are handled.
     fn handle_batch(&mut self, batch: &mut Vec<LoopMessage>) {
         for message in batch.drain(..) {
             self.handle(message);
@@ -210,7 +210,7 @@
                     );
                     self.attempts.remove(attempt);
                 }
-                self.feed(event);
+                self.process_event(event);
             }
             LoopMessage::Submitted {
                 handle,
@@ -220,7 +220,7 @@
             } => {
                 self.on_submitted(handle, request, response, updates);
             }
-            // Whoever asked may have gone.
+            // The receiver may have been dropped.
             LoopMessage::OverviewRequested(response) => drop(response.send(self.core.overview())),
         }
     }
@@ -232,7 +232,7 @@
         response: oneshot::Sender<ClientResponse>,
         updates: Option<mpsc::UnboundedSender<AttemptUpdate>>,
     ) {
-        let (job, class, since) = (request.job.clone(), request.class, self.clock.now());
+        let (job, class, submitted_at) = (request.job.clone(), request.class, self.clock.now());
         self.clients.insert(
             handle,
             PendingClient {
@@ -240,13 +240,13 @@
                 updates,
                 job,
                 class,
-                since,
+                submitted_at,
             },
         );
         if let Some(watch) = &self.watch {
-            watch.demand();
+            watch.notify_demand();
         }
-        self.feed(Event::RequestSubmitted { handle, request });
+        self.process_event(Event::RequestSubmitted { handle, request });
     }
 
     fn on_source_update(
@@ -258,25 +258,26 @@
         }: SourceUpdate,
     ) {
         let as_of = self.clock.timestamp(as_of.into_std());
-        self.feed(Event::EndpointListUpdated {
+        self.process_event(Event::EndpointListUpdated {
             source,
             as_of,
             update,
         });
     }
 
-    /// After a move of discovery, the watch at its former address no longer confirms the list.
+    /// Handles an update from the current watch. While a watch at a new address is being opened,
+    /// the one at the previous address no longer renews the lease on the list.
     fn on_watch_update(&mut self, update: SourceUpdate) {
         if self.next_watch.is_some() {
             let SourceUpdate { source, update, .. } = update;
-            self.feed(Event::PreviousSourceUpdated { source, update });
+            self.process_event(Event::PreviousSourceUpdated { source, update });
         } else {
             self.on_source_update(update);
         }
     }
 
-    /// The watch at the former address is dropped once the one at the new address has sent
-    /// something.
+    /// Handles an update from the watch at the new address. Its first update other than `Lost`
+    /// makes it the current watch; the one at the previous address is dropped.
     fn on_next_watch_update(&mut self, update: SourceUpdate) {
         if !matches!(update.update, EndpointListUpdate::Lost(_)) {
             self.watch = self.next_watch.take();
@@ -284,13 +285,14 @@
         self.on_source_update(update);
     }
 
-    fn feed(&mut self, event: Event) {
+    /// Passes an event to the core and executes the resulting effects.
+    fn process_event(&mut self, event: Event) {
         if let Event::ClientDisconnected { handle } = &event {
             self.clients.remove(handle);
         }
         let now = self.clock.now();
         for effect in self.core.reduce(now, event) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 }
--- a/crates/net/src/event_loop/tests.rs
+++ b/crates/net/src/event_loop/tests.rs
@@ -1,4 +1,4 @@
-//! The ends of an attempt, against an endpoint on loopback.
+//! The ways in which an attempt can end, with an endpoint on loopback.
 
 mod sockets;
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot::error::TryRecvError;
 
-/// An event loop whose only endpoint is at this address, and its messages.
+/// Creates an event loop with a single endpoint at this address, and the receiver of its messages.
 fn event_loop(address: &str) -> (EventLoop, mpsc::UnboundedReceiver<LoopMessage>) {
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","seed":"7","known":{{"index":1,"snapshot":true,"endpoints":[
@@ -29,7 +29,7 @@
         &config.socket_budget,
     );
     let list = config.bootstrap_list.unwrap();
-    event_loop.feed(Event::EndpointListUpdated {
+    event_loop.process_event(Event::EndpointListUpdated {
         source: EndpointSource::Discovery,
         as_of: Timestamp::ORIGIN,
         update: EndpointListUpdate::Snapshot(list.endpoints(&config.deployment)),
@@ -46,7 +46,7 @@
     }
 }
 
-/// The message of a client that submits a request, and its response.
+/// Creates the message of a client that submits a request, and the receiver of its response.
 fn submission(
     n: u64,
     class: ClassId,
@@ -81,7 +81,7 @@
     response
 }
 
-/// Reads a request and completes it.
+/// Reads one request and responds to it.
 fn serve(stream: &mut TcpStream, id: &str) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -104,19 +104,19 @@
     serve(&mut stream, "t2");
 }
 
-/// What can end an attempt.
+/// What ends an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum EndCause {
     Served,
     DeadlineReached,
     ClientDisconnected,
 }
 
-// The attempt must not end twice, keep its socket, or close the connection under the next attempt,
-// in whatever order its response, its deadline and its client's disconnection come.
+// The response, the deadline and the client's disconnection can occur in any order. The attempt
+// must not end twice, leak its socket, or close the connection while the next attempt uses it.
 #[test]
-fn what_ends_an_attempt_first_is_its_outcome_and_nothing_is_left_behind() {
-    use End::*;
+fn the_first_cause_that_ends_an_attempt_decides_its_outcome_and_nothing_leaks() {
+    use EndCause::*;
     std::thread::scope(|scope| {
         for order in [
             [Served, DeadlineReached],
@@ -131,7 +131,7 @@
     });
 }
 
-fn end_attempt_in_order(order: [End; 2]) {
+fn end_attempt_in_order(order: [EndCause; 2]) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let server = std::thread::spawn(move || serve_two(listener));
@@ -141,12 +141,12 @@
         .unwrap();
     runtime.block_on(async {
         let (mut event_loop, mut messages) = event_loop(&address);
-        // Long enough for the response to come first, however late the test is.
+        // Long enough for the response to arrive first even on a slow machine.
         let remaining = Duration::from_secs(2);
         let deadline = event_loop.clock.now() + remaining;
         let mut response = submit(&mut event_loop, 1, remaining);
-        assert_eq!(in_use(&event_loop), (1, 1, 1));
-        // The attempt is served, and the event loop has not handled that yet.
+        assert_eq!(resource_counts(&event_loop), (1, 1, 1));
+        // The endpoint has responded, but the event loop has not handled the message yet.
         let mut ended = messages.recv().await;
         assert!(matches!(
             &ended,
@@ -157,14 +157,16 @@
         ));
         for end in order {
             match end {
-                End::Served => event_loop.handle(ended.take().unwrap()),
-                End::DeadlineReached => {
+                EndCause::Served => event_loop.handle(ended.take().unwrap()),
+                EndCause::DeadlineReached => {
                     std::thread::sleep(deadline.saturating_duration_since(event_loop.clock.now()));
-                    event_loop.feed(Event::TimerFired);
+                    event_loop.process_event(Event::TimerFired);
+                }
+                EndCause::ClientDisconnected => {
+                    event_loop.process_event(Event::ClientDisconnected {
+                        handle: RequestHandle(1),
+                    });
                 }
-                End::ClientDisconnected => event_loop.feed(Event::ClientDisconnected {
-                    handle: RequestHandle(1),
-                }),
             }
             assert!(
                 event_loop.attempts.is_empty() && event_loop.clients.is_empty(),
@@ -176,20 +178,20 @@
         }
         let response = response.try_recv();
         match order[0] {
-            End::Served => assert_eq!(
+            EndCause::Served => assert_eq!(
                 response,
                 Ok(ClientResponse::Served("t1".into())),
                 "{order:?}"
             ),
-            End::DeadlineReached => assert!(
+            EndCause::DeadlineReached => assert!(
                 matches!(response, Ok(ClientResponse::Failed(_))),
                 "{order:?}: {response:?}"
             ),
-            End::ClientDisconnected => {
+            EndCause::ClientDisconnected => {
                 assert!(response.is_err(), "{order:?}: {response:?}");
             }
         }
-        assert_eq!(in_use(&event_loop), (0, 1, 0));
+        assert_eq!(resource_counts(&event_loop), (0, 1, 0));
         let overview = event_loop.core.overview();
         assert!(
             overview
@@ -214,8 +216,8 @@
     server.join().unwrap();
 }
 
-/// The numbers of attempts, upstreams and clients.
-fn in_use(event_loop: &EventLoop) -> (usize, usize, usize) {
+/// Returns the numbers of attempts, upstream clients and waiting clients.
+fn resource_counts(event_loop: &EventLoop) -> (usize, usize, usize) {
     (
         event_loop.attempts.len(),
         event_loop.upstreams.len(),
--- a/crates/net/src/event_loop/tests/sockets.rs
+++ b/crates/net/src/event_loop/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets to endpoints, and messages that the event loop takes in together.
+//! The limit on sockets to endpoints, and messages that the event loop handles in one batch.
 
 use super::super::*;
 use super::{job, submission};
@@ -15,7 +15,8 @@
     {"name":"import","aim-us":1500000,"deadline-us":6000000,"points":3.0,"semantics":"non_idempotent"}],
   "limits":{"most-tries":3,"cancel":true,"retry-after":true,"max-retry-after-us":2000000},"rules":{}}"#;
 
-/// An event loop with this many sockets to these endpoints, and its messages.
+/// Creates an event loop with these endpoints and a limit on the sockets to them, and the receiver
+/// of its messages.
 fn event_loop(
     outbound: usize,
     endpoints: &[&Listener],
@@ -39,14 +40,14 @@
 }
 
 fn list_endpoints(event_loop: &mut EventLoop, endpoints: Vec<Endpoint>) {
-    event_loop.feed(Event::EndpointListUpdated {
+    event_loop.process_event(Event::EndpointListUpdated {
         source: EndpointSource::Discovery,
         as_of: Timestamp::ORIGIN,
         update: EndpointListUpdate::Snapshot(endpoints),
     });
 }
 
-/// An endpoint that takes one request at a time.
+/// Creates an endpoint that accepts one request at a time.
 fn endpoint(n: usize, listener: &Listener) -> Endpoint {
     Endpoint {
         name: format!("w{n}"),
@@ -73,25 +74,31 @@
 /// Waits for the next message and handles it.
 async fn handle_next(event_loop: &mut EventLoop, messages: &mut UnboundedReceiver<LoopMessage>) {
     let message = tokio::time::timeout(Duration::from_secs(5), messages.recv()).await;
-    event_loop.handle_batch(&mut vec![message.expect("no message comes").unwrap()]);
+    event_loop.handle_batch(&mut vec![
+        message.expect("no message was received").unwrap(),
+    ]);
 }
 
 fn accept(listener: &Listener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let end = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).unwrap();
                 return stream;
             }
-            Err(error) => assert!(Instant::now() < end, "no connection comes: {error}"),
+            Err(error) => assert!(
+                Instant::now() < deadline,
+                "no connection was received: {error}"
+            ),
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// The next connection to an endpoint and the request on it, read beside the event loop.
+/// Accepts the next connection to an endpoint and reads the request on it, on a blocking thread so
+/// that the event loop can run meanwhile.
 async fn next_request(listener: &Listener) -> (TcpStream, String) {
     let listener = listener.try_clone().unwrap();
     let read = tokio::task::spawn_blocking(move || {
@@ -117,7 +124,7 @@
         .unwrap();
 }
 
-/// Starts the attempt 9 at this endpoint, past the decisions.
+/// Starts attempt 9 at this endpoint, bypassing the endpoint selection of the core.
 fn start_attempt(event_loop: &mut EventLoop, endpoint: EndpointId, listener: &Listener) {
     let address = listener.local_addr().unwrap().to_string();
     let options = AttemptOptions {
@@ -136,15 +143,16 @@
         .block_on(test);
 }
 
-// Idle connections to all endpoints must not add up past the limit: connections that the system has
-// accepted could not be taken any more.
+// The idle connections to all endpoints together must stay within the limit; otherwise the process
+// runs out of descriptors and cannot accept connections from clients.
 #[test]
-fn an_idle_connection_makes_room_for_an_attempt_that_needs_a_socket() {
+fn an_idle_connection_is_closed_for_an_attempt_that_needs_a_socket() {
     let endpoints = listeners::<3>();
     let (mut event_loop, mut messages) = event_loop(2, &endpoints.each_ref());
     block_on(async {
         let mut responses = Vec::new();
-        // Two endpoints at once, so that each has a connection; then both are idle.
+        // Two requests at the same time, so that each endpoint has a connection; then both are
+        // idle.
         for n in 0..2 {
             let (message, response) = push_submission(n);
             event_loop.handle_batch(&mut vec![message]);
@@ -165,11 +173,12 @@
             }
             assert!(matches!(response.try_recv(), Ok(ClientResponse::Served(_))));
         }
-        // An attempt at a third: one of the idle connections is closed.
+        // An attempt at a third endpoint closes one of the idle connections.
         start_attempt(&mut event_loop, EndpointId(2), &endpoints[2]);
         let (_stream, text) = next_request(&endpoints[2]).await;
         assert!(text.contains("x-txn: t9"), "{text}");
-        // It is the first one. The endpoint still holds its end, and sees that it is closed.
+        // The first connection was closed: the endpoint, which keeps its side open, reads the end
+        // of the stream.
         let mut first = streams.remove(0);
         let closed = tokio::task::spawn_blocking(move || first.read(&mut [0]))
             .await
@@ -179,10 +188,10 @@
     });
 }
 
-// An endpoint must not count as failed because the dispatcher had no socket left, nor a request
-// wait for one until its client has disconnected.
+// A lack of local sockets must not count as a failure of an endpoint, and a request must not wait
+// for a socket until its client disconnects.
 #[test]
-fn with_every_socket_in_use_a_request_is_shed_and_no_endpoint_is_blamed() {
+fn with_every_socket_in_use_a_request_is_shed_and_no_endpoint_counts_as_failed() {
     let endpoints = listeners::<2>();
     let (mut event_loop, mut messages) = event_loop(1, &endpoints.each_ref());
     block_on(async {
@@ -190,7 +199,7 @@
         event_loop.handle_batch(&mut vec![first]);
         let (stream, _) = next_request(&endpoints[0]).await;
         event_loop.handle_batch(&mut vec![second]);
-        // Each attempt ends at once, and counts as not sent.
+        // Each attempt ends immediately as not sent.
         while response.is_empty() {
             let ended = messages.try_recv();
             let not_sent = AttemptOutcome::NotSent;
@@ -206,7 +215,7 @@
                 retry_after: Some(_)
             })
         ));
-        // Once the socket is free, the second endpoint receives requests like any other.
+        // Once the socket is free, the second endpoint receives requests again.
         complete(&stream, "t0");
         while !event_loop.attempts.is_empty() {
             handle_next(&mut event_loop, &mut messages).await;
@@ -218,7 +227,8 @@
     });
 }
 
-// Their disconnections stand in the queue behind the message that would send their requests.
+// The disconnections are queued behind the message that frees the endpoint. If that message were
+// handled alone, the requests of disconnected clients would be sent.
 #[test]
 fn the_request_of_a_client_that_has_disconnected_is_not_sent() {
     let endpoints = listeners::<1>();
@@ -232,8 +242,8 @@
         }
         let (stream, _) = next_request(&endpoints[0]).await;
         complete(&stream, "t0");
-        // The end of the first attempt makes room for the next; behind it come the disconnections
-        // of all other clients.
+        // The end of the first attempt frees the endpoint; the disconnections of all other clients
+        // follow it in the queue.
         let mut batch = vec![messages.recv().await.unwrap()];
         assert!(
             matches!(batch[0], LoopMessage::Event(Event::AttemptEnded { .. })),
@@ -256,7 +266,7 @@
         for _ in 0..64 {
             tokio::task::yield_now().await;
         }
-        // Neither on the connection that is kept nor on a new one.
+        // Nothing is sent, neither on the kept connection nor on a new one.
         stream.set_nonblocking(true).unwrap();
         let read = (&stream).read(&mut [0]).map_err(|error| error.kind());
         assert!(
@@ -268,8 +278,8 @@
     });
 }
 
-// If the next timer were lost, nothing would be due until the next message, and clients would have
-// no response in time.
+// If the timer set by the message were lost, nothing would run until the next message, and clients
+// would not get a response by their deadline.
 #[test]
 fn a_message_that_is_handled_with_a_timer_sets_the_next_one() {
     let endpoints = listeners::<0>();
@@ -281,24 +291,25 @@
             request.remaining = Duration::from_micros(3_000_000 - 500_000 * n);
         }
         event_loop.on_timer(&mut vec![message]);
-        assert!(event_loop.timer.is_some(), "{n}: nothing is ever due");
+        assert!(event_loop.timer.is_some(), "{n}: no timer is set");
         responses.push(response);
     }
 }
 
-/// Endpoints that follow one another in the next test.
-const NAMES: usize = 1_500;
+/// Number of endpoints that replace one another in the next test.
+const ENDPOINT_NAMES: usize = 1_500;
 
-// Memory must not grow with every name of an endpoint that was ever sent a request, nor a
-// connection to one that is gone carry a request for the next.
+// The client of an endpoint that is gone must be dropped: otherwise memory grows with every
+// endpoint name that was ever used, and a request for a new endpoint at the same address could be
+// sent on the connection of the previous one.
 #[test]
-fn endpoints_whose_names_come_and_go_are_dropped() {
+fn clients_of_endpoints_that_are_gone_are_dropped() {
     let endpoints = listeners::<1>();
     let (mut event_loop, mut messages) = event_loop(8, &[]);
     let listener = endpoints[0].try_clone().unwrap();
     let server = std::thread::spawn(move || serve_each_name(&listener));
     block_on(async {
-        for n in 0..NAMES {
+        for n in 0..ENDPOINT_NAMES {
             list_endpoints(&mut event_loop, vec![endpoint(n, &endpoints[0])]);
             let (message, mut response) = push_submission(n as u64);
             event_loop.handle_batch(&mut vec![message]);
@@ -312,7 +323,7 @@
             );
             assert!(
                 event_loop.upstreams.len() <= 1_026,
-                "{n}: {} endpoints are kept",
+                "{n}: {} clients are kept",
                 event_loop.upstreams.len()
             );
         }
@@ -320,11 +331,11 @@
     server.join().unwrap();
 }
 
-/// Serves one request on each connection. The first one stays open: an endpoint that takes over the
-/// address has to come on a connection of its own.
+/// Serves one request per connection. The first connection stays open on this side: a new endpoint
+/// at the same address must be sent requests on a new connection.
 fn serve_each_name(listener: &Listener) {
     let mut first = None;
-    for n in 0..NAMES {
+    for n in 0..ENDPOINT_NAMES {
         let mut stream = listener.accept().unwrap().0;
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
--- a/crates/net/src/event_loop/upstreams.rs
+++ b/crates/net/src/event_loop/upstreams.rs
@@ -1,4 +1,4 @@
-//! The HTTP clients of all endpoints, and the sockets that they share.
+//! The HTTP clients for all endpoints and the socket limit that they share.
 
 use crate::config::SocketBudget;
 use crate::upstream::{PoolSettings, UpstreamClient};
@@ -8,15 +8,15 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Where no socket is left, one in this many of the endpoints without an attempt in flight lose
-/// their idle connections at a time.
-const EVICTED_DIVISOR: usize = 4;
+/// When no socket is free, one in this many of the endpoints without an attempt in flight loses its
+/// idle connections at a time.
+const EVICTION_DIVISOR: usize = 4;
 
-/// The clients of all endpoints.
+/// The HTTP clients for all endpoints.
 pub(super) struct Upstreams {
     pool: PoolSettings,
     clients: HashMap<EndpointId, PooledClient>,
-    /// A permit for each socket to an endpoint.
+    /// Holds one permit per socket to an endpoint.
     sockets: Arc<Semaphore>,
     max_sockets: usize,
 }
@@ -36,24 +36,25 @@
         }
     }
 
-    /// Sockets to all endpoints together.
+    /// The maximum number of sockets to all endpoints together.
     pub(super) fn max_sockets(&self) -> usize {
         self.max_sockets
     }
 
-    /// Endpoints that have a client.
+    /// The number of endpoints that have a client.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Sockets that are not in use.
+    /// The number of sockets that are not in use.
     #[cfg(test)]
     pub(super) fn free_sockets(&self) -> usize {
         self.sockets.available_permits()
     }
 
-    /// The client of an endpoint; a new one where its address has changed.
+    /// Returns the client for an endpoint, creating one if there is none or its address has
+    /// changed.
     pub(super) fn client(
         &mut self,
         now: Timestamp,
@@ -78,14 +79,14 @@
         pooled.client.clone()
     }
 
-    /// Closes the idle connections to an endpoint.
+    /// Drops the client for an endpoint, which closes its idle connections.
     pub(super) fn close_idle(&mut self, endpoint: EndpointId) {
         self.clients.remove(&endpoint);
     }
 
-    /// Sees to it that a socket is free, or is about to be: of the endpoints without an attempt in
-    /// flight, those that were not used for longest lose their idle connections. Returns false only
-    /// if there is no such endpoint.
+    /// Ensures that a socket is free or is about to be. If there is none, the least recently used
+    /// quarter of the endpoints that are not in `busy` loses its idle connections. Returns false only
+    /// if no socket is free and there is no such endpoint.
     pub(super) fn ensure_free_socket(&mut self, busy: &HashSet<EndpointId>) -> bool {
         if self.sockets.available_permits() > 0 {
             return true;
@@ -98,7 +99,7 @@
             .map(|(&endpoint, pooled)| (pooled.last_used_at, endpoint))
             .collect();
         idle.sort_unstable();
-        for (_, endpoint) in idle.iter().take(idle.len().div_ceil(EVICTED_DIVISOR)) {
+        for (_, endpoint) in idle.iter().take(idle.len().div_ceil(EVICTION_DIVISOR)) {
             self.clients.remove(endpoint);
         }
         !idle.is_empty()
--- a/crates/net/src/event_loop/watch.rs
+++ b/crates/net/src/event_loop/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of one discovery service, as a task.
+//! The task that watches a discovery service.
 
 use super::SOURCE_CHANNEL_CAPACITY;
 use crate::discovery::{DiscoveryWatcher, SourceUpdate};
@@ -7,7 +7,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
 
-/// A watch of a discovery service; ends when dropped.
+/// A watch of a discovery service. The task is aborted when this is dropped.
 pub(super) struct WatchTask {
     demand: Arc<Notify>,
     updates: mpsc::Receiver<SourceUpdate>,
@@ -15,7 +15,8 @@
 }
 
 impl WatchTask {
-    /// Watches the service at this address; `after_move`: in place of another one.
+    /// Spawns a watch of the service at this address. `after_move` states that it replaces a watch
+    /// of another address.
     pub(super) fn start(
         address: String,
         settings: Arc<DeploymentSettings>,
@@ -34,12 +35,13 @@
         }
     }
 
-    /// A request has come; a watcher that has not made its first call makes it sooner.
-    pub(super) fn demand(&self) {
+    /// Notifies the watcher that a request was received. If it has not made its first call yet, it
+    /// makes the call sooner.
+    pub(super) fn notify_demand(&self) {
         self.demand.notify_one();
     }
 
-    /// The next update; never ready where there is no watch.
+    /// Waits for the next update; never completes if there is no watch.
     pub(super) async fn next(watch: &mut Option<WatchTask>) -> SourceUpdate {
         if let Some(watch) = watch
             && let Some(update) = watch.updates.recv().await
