--- a/crates/net/src/discovery/body.rs
+++ b/crates/net/src/discovery/body.rs
@@ -1,7 +1,8 @@
-//! The body of a discovery response, with a bound on how long ago each part of it was written.
+//! The body of a discovery response, with a lower bound on the time at which each part was written.
 //!
-//! A process that was suspended must not take for new what it then reads. So the reader notes when
-//! the connection was last seen to be empty: what it reads next was written after that.
+//! A process that was suspended must not take data as current that arrived during the suspension.
+//! The reader therefore records when the connection was last observed to be empty: whatever it
+//! reads next was written after that time.
 
 use super::call::CallResponse;
 use bytes::Bytes;
@@ -9,46 +10,46 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a read waits before it notes that the connection was empty.
+/// A read that receives nothing for this long records that the connection was empty.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a body cannot be read further.
+/// Why reading a body failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
     /// Nothing was received until the deadline.
-    #[error("nothing was received in time")]
-    Silent,
+    #[error("timed out waiting for data")]
+    TimedOut,
     /// The connection broke.
     #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// A response body, and the earliest time at which what is read next was written.
-pub(super) struct DatedBody {
+/// A response body that tracks the earliest time at which its next part can have been written.
+pub(super) struct TimestampedBody {
     response: CallResponse,
-    /// All that was written before this time has been read.
+    /// Everything that was written before this time has been read.
     read_up_to: Instant,
 }
 
-impl DatedBody {
-    /// The body of the response to a call that was begun at this time.
-    pub(super) fn new(response: CallResponse, called_at: Instant) -> DatedBody {
-        DatedBody {
+impl TimestampedBody {
+    /// Wraps the response to a call that was started at `called_at`.
+    pub(super) fn new(response: CallResponse, called_at: Instant) -> TimestampedBody {
+        TimestampedBody {
             response,
             read_up_to: called_at,
         }
     }
 
-    /// What is read next was written at this time or later.
+    /// Returns the earliest time at which the next part can have been written.
     pub(super) fn read_up_to(&self) -> Instant {
         self.read_up_to
     }
 
-    /// The next part of the body; `None` at its end.
+    /// Reads the next part of the body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Nothing is received until the deadline, or the connection breaks.
+    /// Returns an error if nothing is received until the deadline or the connection breaks.
     pub(super) async fn next(&mut self, deadline: Instant) -> Result<Option<Bytes>, ReadError> {
         loop {
             let read_at = Instant::now();
@@ -56,9 +57,9 @@
             match timeout_at(read_until, self.response.body.frame()).await {
                 Ok(None) => return Ok(None),
                 Ok(Some(frame)) => return Ok(Some(frame?.into_data().unwrap_or_default())),
-                Err(_) if deadline <= read_at => return Err(ReadError::Silent),
-                // A timer fires only after the runtime has polled the system for input, so all that
-                // had arrived at `read_at` would have been read by now.
+                Err(_) if deadline <= read_at => return Err(ReadError::TimedOut),
+                // The runtime fires timers only after it has polled for I/O, so everything that had
+                // arrived by `read_at` would have been read.
                 Err(_) => self.read_up_to = read_at,
             }
         }
--- a/crates/net/src/discovery/call.rs
+++ b/crates/net/src/discovery/call.rs
@@ -1,8 +1,9 @@
-//! Calls to a discovery service, each on a connection of its own.
+//! Calls to a discovery service, each on a separate connection.
 //!
-//! An agent on this machine responds at once or, while it has nothing to send, not at all. A call
-//! that it accepted in that state would hide that it is back, so further calls are made beside the
-//! unanswered ones and the first response counts.
+//! An agent on this machine either responds immediately or, while it has nothing to send, not at
+//! all. It may never answer a call that it accepted in that state, even after it has recovered.
+//! Further calls are therefore made in parallel with the unanswered ones, and the first response
+//! counts.
 
 use bytes::Bytes;
 use http_body_util::Empty;
@@ -16,16 +17,16 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout_at};
 
-/// A call to a service that all dispatchers share fails after this time.
+/// Timeout of a call to a service that all dispatchers share.
 pub(super) const SERVICE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A call to the agent of this machine fails after this time.
+/// Timeout of a call to the agent on this machine.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The agent is called again after this time, beside the calls that are unanswered. Short enough to
-/// notice its return well within the grace of endpoints that drain.
+/// Interval at which the agent is called again while calls are unanswered. Short enough to detect
+/// that the agent has recovered well within the grace period of draining endpoints.
 const AGENT_REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The head of a response, with its body still to be read. The connection closes when it is
-/// dropped.
+/// A response whose head has been received and whose body is still to be read. Dropping it closes
+/// the connection.
 #[derive(Debug)]
 pub(super) struct CallResponse {
     /// The body.
@@ -33,37 +34,37 @@
     _sender: SendRequest<Empty<Bytes>>,
 }
 
-/// Why a call has no response. None of these shows whether the list has changed.
+/// Why a call has no response. No variant indicates whether the list has changed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
     /// No connection could be opened.
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The connection broke before a response, or the response is not HTTP.
+    /// The connection broke before a response was received, or the response is not valid HTTP.
     #[error("call failed: {0}")]
     Broken(#[from] hyper::Error),
-    /// The path or the address does not make a valid request.
+    /// The path or the address does not form a valid request.
     #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The status of the response is not a success.
-    #[error("responded with status {0}")]
+    /// The response does not have a success status.
+    #[error("response has status {0}")]
     Status(hyper::StatusCode),
-    /// No response came in time.
-    #[error("no response in time")]
+    /// No response was received within the timeout.
+    #[error("timed out waiting for a response")]
     TimedOut,
 }
 
-/// How long calls are waited for, and when they are repeated.
+/// The timeout of calls and the interval at which they are repeated.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallPolicy {
-    /// A call without a response fails after this time.
+    /// Time after which a call without a response fails.
     pub(super) timeout: Duration,
-    /// A further call is made after this time without a response.
+    /// Time without a response after which a further call is made.
     repeat_interval: Duration,
 }
 
 impl CallPolicy {
-    /// The policy for a service that is polled, or for an agent that pushes.
+    /// Returns the policy for a polled service or for an agent that pushes lists.
     pub(super) fn new(mode: DiscoveryMode) -> CallPolicy {
         match mode {
             DiscoveryMode::Polled => CallPolicy {
@@ -77,11 +78,12 @@
         }
     }
 
-    /// Requests a path of the service at this address, and waits for the head of a response.
+    /// Requests a path from the service at this address and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// The first call that ends fails, or none ends in time.
+    /// Returns an error if the first call that completes has failed, or none completes within the
+    /// timeout.
     pub(super) async fn call(self, address: &str, path: &str) -> Result<CallResponse, CallError> {
         let deadline = Instant::now() + self.timeout;
         let mut calls = JoinSet::new();
@@ -100,7 +102,7 @@
 
 async fn call_once(address: String, path: String) -> Result<CallResponse, CallError> {
     let stream = TcpStream::connect(&address).await?;
-    // Only costs latency where the system refuses it.
+    // Best effort: a failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
--- a/crates/net/src/discovery/call_schedule.rs
+++ b/crates/net/src/discovery/call_schedule.rs
@@ -1,52 +1,54 @@
-//! When a dispatcher calls discovery.
+//! Schedules the calls of a dispatcher to discovery.
 //!
-//! A service that is polled is shared by all dispatchers and works through their calls in turn. A
-//! call that has waited too long has failed, but costs its work all the same, so a fleet that calls
-//! faster than it is served is never served again. The callers do not know of each other: each
-//! draws its time at random, from a span that grows with the fleet and with failures.
+//! A polled service is shared by all dispatchers and handles their calls sequentially. A call that
+//! times out still costs the service its full work, so a fleet that calls faster than the service
+//! can respond would keep it overloaded indefinitely. Dispatchers do not coordinate: each waits for
+//! a random delay from a window that grows with the size of the fleet and with consecutive
+//! failures.
 //!
-//! Where lists are pushed, the address is that of an agent beside this dispatcher alone. It
-//! responds at once and at no cost, and what it has counts as notified whether it was called or
-//! not, so nothing is gained by waiting.
+//! Where lists are pushed, the address is that of a local agent which serves only this dispatcher.
+//! It responds immediately and at negligible cost, and the changes that it holds count as notified
+//! whether it was called or not. A delay would therefore have no benefit.
 
 use pumiceway_decisions::settings::{DeploymentSettings, DiscoveryMode};
 use std::time::Duration;
 
-/// The mean interval between the calls of all dispatchers together, when all begin at once.
+/// Mean interval between the calls of the whole fleet when all dispatchers start together.
 const FLEET_CALL_INTERVAL: Duration = Duration::from_millis(50);
-/// What discovery has to send counts as notified after this time, whether it arrived or not.
+/// Time after which a change counts as notified, whether the dispatcher has received it or not.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// The same after a new configuration has moved discovery.
+/// The same after a reload that changed the address of discovery.
 const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// The longest wait for a first call that a request waits for.
-const MAX_DEMAND_WAIT: Duration = Duration::from_millis(500);
-/// The shortest wait between a call that has ended and the next.
-const MIN_WAIT: Duration = Duration::from_millis(50);
-/// Each failure in a row doubles the span to draw from, up to this many times.
+/// Maximum delay of the first call while a request is waiting for the list.
+const MAX_ON_DEMAND_DELAY: Duration = Duration::from_millis(500);
+/// Minimum delay between the end of a call and the next call.
+const MIN_DELAY: Duration = Duration::from_millis(50);
+/// Each consecutive failure doubles the window of random delays, up to this many times.
 const MAX_DOUBLINGS: u32 = 3;
-/// An agent is called again within this many times the shortest wait, so that one that is not up
-/// yet is not called without pause.
-const MAX_AGENT_WAITS: u32 = 2;
-/// A watch that was open for longer than this was served, whether anything changed or not.
-const SERVED_AFTER: Duration = Duration::from_millis(2_500);
-/// The fleet sizes that a span is computed for; one dispatcher waits as if it had a peer.
+/// The delay before an agent is called again is at most this multiple of [`MIN_DELAY`]. Increasing
+/// it avoids a busy loop while an agent is not up yet.
+const MAX_AGENT_DELAY_FACTOR: u32 = 2;
+/// A watch that was open for longer than this counts as successful even if it sent no new version.
+const MIN_SUCCESSFUL_WATCH: Duration = Duration::from_millis(2_500);
+/// The size of the fleet is clamped to this range. A single dispatcher uses the delays of a fleet
+/// of two.
 const MIN_INSTANCES: usize = 2;
 const MAX_INSTANCES: u32 = 1 << 20;
 
-/// When one dispatcher calls discovery.
+/// The call schedule of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct CallSchedule {
-    /// The span that a wait is drawn from while calls succeed.
-    spread: Duration,
-    /// The longest span after failures.
-    max_spread: Duration,
-    /// Failures in a row, up to [`MAX_DOUBLINGS`].
+    /// The window of random delays while calls succeed.
+    window: Duration,
+    /// The largest window after failures.
+    max_window: Duration,
+    /// Consecutive failures, up to [`MAX_DOUBLINGS`].
     failures: u32,
     is_agent: bool,
 }
 
 impl CallSchedule {
-    /// The schedule for these settings.
+    /// Creates the schedule for these settings.
     pub fn from_settings(settings: &DeploymentSettings) -> CallSchedule {
         match settings.discovery {
             DiscoveryMode::Polled => CallSchedule::new(
@@ -57,18 +59,19 @@
         }
     }
 
-    /// For an agent beside this dispatcher, however large the fleet is.
+    /// Creates the schedule for a local agent; it does not depend on the size of the fleet.
     pub fn agent() -> CallSchedule {
         CallSchedule {
-            spread: Duration::ZERO,
-            max_spread: Duration::ZERO,
+            window: Duration::ZERO,
+            max_window: Duration::ZERO,
             failures: 0,
             is_agent: true,
         }
     }
 
-    /// For one of this many dispatchers that share a service. `max_poll_interval` is the time after
-    /// which a dispatcher counts as notified without a call; zero for never.
+    /// Creates the schedule for one of `instances` dispatchers that share a service.
+    /// `max_poll_interval` is the time after which a dispatcher counts as notified without a call;
+    /// zero means never.
     pub fn new(instances: usize, max_poll_interval: Duration) -> CallSchedule {
         let instances = instances.clamp(MIN_INSTANCES, MAX_INSTANCES as usize);
         let instances = u32::try_from(instances).unwrap_or(MAX_INSTANCES);
@@ -77,61 +80,63 @@
         } else {
             max_poll_interval
         };
-        // Half of the interval, as the call takes the rest: a dispatcher that counts as notified
-        // before it has called would send to endpoints that have gone.
-        let spread = (FLEET_CALL_INTERVAL * instances).min(max_poll_interval / 2);
-        let doubled = spread.saturating_mul(1 << MAX_DOUBLINGS);
+        // At most half of the interval; the rest is left for the call itself. A dispatcher that
+        // counts as notified before its call completes would send requests to endpoints that are
+        // gone.
+        let window = (FLEET_CALL_INTERVAL * instances).min(max_poll_interval / 2);
+        let doubled = window.saturating_mul(1 << MAX_DOUBLINGS);
         CallSchedule {
-            spread,
-            max_spread: doubled.min(max_poll_interval),
+            window,
+            max_window: doubled.min(max_poll_interval),
             failures: 0,
             is_agent: false,
         }
     }
 
-    /// The wait before the first call; `draw` is uniform from 0 to 1.
-    pub fn first(&self, draw: f64) -> Duration {
-        self.spread.mul_f64(draw)
+    /// Returns the delay before the first call. `random` is uniformly distributed between 0 and 1.
+    pub fn first(&self, random: f64) -> Duration {
+        self.window.mul_f64(random)
     }
 
-    /// The wait before the first call once a request waits for the list, if that is shorter than
-    /// the rest of [`CallSchedule::first`].
+    /// Returns the delay before the first call, counted from when a request starts to wait for the
+    /// list, if that is shorter than the rest of the delay of [`CallSchedule::first`].
     ///
-    /// Processes that restart together would otherwise reject requests for seconds. Those without
-    /// requests keep their turn, so calls come no faster than requests do.
-    pub fn on_demand(&self, draw: f64) -> Duration {
-        self.spread.min(MAX_DEMAND_WAIT).mul_f64(draw)
+    /// Without it, processes that restart together would reject requests for seconds. Processes
+    /// without requests keep their original delay, so the calls do not outnumber the requests.
+    pub fn on_demand(&self, random: f64) -> Duration {
+        self.window.min(MAX_ON_DEMAND_DELAY).mul_f64(random)
     }
 
-    /// The wait before the first call at a new address.
+    /// Returns the delay before the first call to a new address.
     ///
-    /// Shorter than [`CallSchedule::first`], as a new configuration reaches dispatchers one by one,
-    /// and the old address soon ends its watches.
-    pub fn first_moved(&self, draw: f64) -> Duration {
-        self.spread.min(NOTIFIED_AFTER_MOVE / 4).mul_f64(draw)
+    /// It is shorter than [`CallSchedule::first`], because a new configuration reaches the
+    /// dispatchers one after another and the service at the old address soon ends its watches.
+    pub fn first_moved(&self, random: f64) -> Duration {
+        self.window.min(NOTIFIED_AFTER_MOVE / 4).mul_f64(random)
     }
 
-    /// The wait before the next call after one has ended. Its watch was open for `open_for`, zero
-    /// if the call was never answered; `served` if it sent a new version.
-    pub fn next(&mut self, open_for: Duration, served: bool, draw: f64) -> Duration {
+    /// Returns the delay between the end of a call and the next call. `open_for` is how long the
+    /// watch of the ended call was open, zero if the call was not answered; `served` is whether it
+    /// sent a new version.
+    pub fn next(&mut self, open_for: Duration, served: bool, random: f64) -> Duration {
         self.count_failures(open_for, served);
         if self.is_agent {
-            let waits = 1 << self.failures.saturating_sub(1);
-            return MIN_WAIT * waits.min(MAX_AGENT_WAITS);
+            let factor = 1 << self.failures.saturating_sub(1);
+            return MIN_DELAY * factor.min(MAX_AGENT_DELAY_FACTOR);
         }
-        let spread = match self.failures {
-            // What changes between two watches counts as notified before longer.
-            0 => self.spread.min(NOTIFIED_AFTER / 2),
+        let window = match self.failures {
+            // A longer delay would end after changes between the two watches count as notified.
+            0 => self.window.min(NOTIFIED_AFTER / 2),
             failures => self
-                .spread
+                .window
                 .saturating_mul(1 << failures)
-                .min(self.max_spread),
+                .min(self.max_window),
         };
-        MIN_WAIT + spread.mul_f64(draw)
+        MIN_DELAY + window.mul_f64(random)
     }
 
     fn count_failures(&mut self, open_for: Duration, served: bool) {
-        self.failures = if served || open_for > SERVED_AFTER {
+        self.failures = if served || open_for > MIN_SUCCESSFUL_WATCH {
             0
         } else {
             (self.failures + 1).min(MAX_DOUBLINGS)
--- a/crates/net/src/discovery/call_schedule/tests.rs
+++ b/crates/net/src/discovery/call_schedule/tests.rs
@@ -1,28 +1,28 @@
-//! Bounds of the call schedule, and a simulated fleet beside an overloaded service.
+//! Bounds of the call schedule, and a simulation of a fleet with an overloaded service.
 
 use super::*;
 use crate::discovery::call::SERVICE_TIMEOUT;
-use crate::discovery::watcher::SILENCE_TIMEOUT;
+use crate::discovery::watcher::MESSAGE_TIMEOUT;
 use std::collections::BTreeSet;
 
-/// A millisecond in microseconds.
+/// One millisecond in microseconds.
 const MS: u64 = 1_000;
-/// How long a call waits for the service before it has failed, in microseconds.
+/// Timeout of a simulated call, in microseconds.
 const CALL_TIMEOUT_US: u64 = 2_000 * MS;
-/// When the second start of the fleet begins, in microseconds.
+/// When the fleet starts for the second time, in microseconds.
 const RESTART_US: u64 = 60_000 * MS;
 
-/// What a simulation has shown.
-struct Simulation {
-    /// How long each of the two starts took until the last dispatcher was served, in microseconds.
+/// The result of a simulation.
+struct SimulationResult {
+    /// Time from each of the two starts until the last dispatcher was served, in microseconds.
     last_served: [u64; 2],
-    /// The highest number of calls within a second.
+    /// The highest number of calls within one second.
     max_calls: usize,
 }
 
-/// A fleet that starts twice, beside a service that works through its calls in turn. Each call
-/// takes `work` µs, and one that waits for longer than its timeout is not served.
-fn simulate(instances: usize, work: u64) -> Simulation {
+/// Simulates a fleet that starts twice and a service that handles calls sequentially. Each call
+/// takes `call_cost_us` of the service's time, also if it has timed out by then and is not served.
+fn simulate(instances: usize, call_cost_us: u64) -> SimulationResult {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut schedules = vec![CallSchedule::new(instances, Duration::from_secs(10)); instances];
     let (mut last_served, mut calls, mut free_at) = ([0; 2], Vec::new(), 0u64);
@@ -36,7 +36,7 @@
             .collect();
         while let Some((now, index)) = due.pop_first() {
             calls.push(now);
-            free_at = free_at.max(now) + work;
+            free_at = free_at.max(now) + call_cost_us;
             if free_at - now <= CALL_TIMEOUT_US {
                 *last_served = (*last_served).max(free_at - begins);
                 schedules[index].next(Duration::from_secs(30), true, 0.0);
@@ -57,22 +57,22 @@
             .count()
     };
     let max_calls = calls.iter().map(|&call| calls_in_second(call)).max();
-    Simulation {
+    SimulationResult {
         last_served,
         max_calls: max_calls.unwrap_or(0),
     }
 }
 
-/// The longest wait after nine failures in a row.
-fn longest_wait_after_failures(schedule: &mut CallSchedule) -> Duration {
+/// Returns the longest delay after nine consecutive failures.
+fn max_delay_after_failures(schedule: &mut CallSchedule) -> Duration {
     (0..9)
         .map(|_| schedule.next(Duration::ZERO, false, 1.0))
         .max()
         .unwrap_or_default()
 }
 
-// A fleet that called again faster than it is served would have all its calls time out while their
-// work is done for nobody.
+// A fleet that retries faster than the service can respond would have all its calls time out, while
+// the service spends its time on calls that have already failed.
 #[test]
 fn a_fleet_that_starts_at_once_is_served_by_an_overloaded_service() {
     let cases = [
@@ -80,27 +80,29 @@
         (100, 100 * MS, 30, 36),
         (300, 17 * MS, 10, 84),
     ];
-    for (instances, work, within_s, at_most) in cases {
-        let Simulation {
+    for (instances, call_cost_us, max_duration_s, max_expected_calls) in cases {
+        let SimulationResult {
             last_served,
             max_calls,
-        } = simulate(instances, work);
+        } = simulate(instances, call_cost_us);
         assert!(
-            last_served.iter().all(|&us| us < within_s * 1_000 * MS),
-            "{instances}, {work}: {last_served:?}"
+            last_served
+                .iter()
+                .all(|&us| us < max_duration_s * 1_000 * MS),
+            "{instances}, {call_cost_us}: {last_served:?}"
         );
-        // A fifth of the fleet in a second, and what comes on top by chance.
+        // At most a fifth of the fleet per second, plus a margin for random variation.
         assert!(
-            max_calls <= at_most,
-            "{instances}, {work}: {max_calls} calls"
+            max_calls <= max_expected_calls,
+            "{instances}, {call_cost_us}: {max_calls} calls"
         );
     }
 }
 
-// Otherwise a dispatcher would count as notified that an endpoint has gone before it has called,
-// and send to it.
+// Otherwise a dispatcher would count as notified that an endpoint is gone before its call
+// completes, and would send requests to the endpoint.
 #[test]
-fn a_call_is_over_before_its_result_counts_as_notified_whatever_the_size_of_the_fleet() {
+fn a_call_completes_before_its_result_counts_as_notified_for_any_fleet_size() {
     for instances in [0, 1, 3, 60, 100, 300, 10_000, usize::MAX] {
         for max_poll_interval in [
             Duration::ZERO,
@@ -118,17 +120,19 @@
                 "{instances}"
             );
             assert!(
-                schedule.next(SERVED_AFTER * 2, true, 1.0) + SERVICE_TIMEOUT <= NOTIFIED_AFTER,
+                schedule.next(MIN_SUCCESSFUL_WATCH * 2, true, 1.0) + SERVICE_TIMEOUT
+                    <= NOTIFIED_AFTER,
                 "{instances}"
             );
-            // What a silent watch misses counts as notified this long after its last message. Where
-            // many are silent at once the call waits for its turn: from a shorter span, more calls
-            // would fail and come again later.
+            // Changes that a silent watch does not send count as notified this long after its last
+            // message. The window is not shorter because many watches can become silent together:
+            // then more calls would fail and be repeated later.
             assert!(
-                SILENCE_TIMEOUT + schedule.next(SERVED_AFTER * 2, false, 1.0) <= NOTIFIED_AFTER,
+                MESSAGE_TIMEOUT + schedule.next(MIN_SUCCESSFUL_WATCH * 2, false, 1.0)
+                    <= NOTIFIED_AFTER,
                 "{instances}"
             );
-            let after_failures = longest_wait_after_failures(&mut schedule);
+            let after_failures = max_delay_after_failures(&mut schedule);
             assert!(
                 max_poll_interval.is_zero()
                     || after_failures + SERVICE_TIMEOUT <= max_poll_interval * 4,
@@ -138,10 +142,10 @@
     }
 }
 
-// What the agent has counts as notified from the first moment of a new process on, and the grace of
-// a drain is half a second: there is no time for a turn among the fleet.
+// The changes that the agent holds count as notified as soon as the process starts, and the drain
+// grace period is half a second, so there is no time to spread the calls of the fleet.
 #[test]
-fn an_agent_is_called_at_once_however_large_the_fleet() {
+fn an_agent_is_called_at_once_for_any_fleet_size() {
     let settings = |discovery: &str, instances: usize| -> DeploymentSettings {
         let text = format!(
             r#"{{"lanes":[],"limits":{{"most-tries":1}},"rules":{{"ask-within-us":10000000}},
@@ -155,12 +159,15 @@
             (schedule.first(1.0), schedule.first_moved(1.0)),
             (Duration::ZERO, Duration::ZERO)
         );
-        let after_failures = longest_wait_after_failures(&mut schedule);
+        let after_failures = max_delay_after_failures(&mut schedule);
         assert!(
-            (MIN_WAIT..Duration::from_millis(250)).contains(&after_failures),
+            (MIN_DELAY..Duration::from_millis(250)).contains(&after_failures),
             "{after_failures:?}"
         );
-        assert_eq!(schedule.next(SERVED_AFTER * 2, false, 1.0), MIN_WAIT);
+        assert_eq!(
+            schedule.next(MIN_SUCCESSFUL_WATCH * 2, false, 1.0),
+            MIN_DELAY
+        );
     }
     let polled = CallSchedule::from_settings(&settings("subscribe", 300));
     assert_eq!(
@@ -170,7 +177,7 @@
 }
 
 #[test]
-fn a_small_site_calls_again_at_once_and_waits_are_bounded() {
+fn a_small_fleet_calls_again_at_once_and_delays_are_bounded() {
     for instances in [0, 1, 3] {
         let mut schedule = CallSchedule::new(instances, Duration::ZERO);
         assert!(schedule.first(1.0) <= Duration::from_millis(150));
@@ -179,16 +186,16 @@
         }
         assert!(schedule.next(Duration::from_secs(3), false, 1.0) <= Duration::from_millis(200));
     }
-    let mut vast = CallSchedule::new(usize::MAX, Duration::from_secs(10));
-    assert!(vast.next(Duration::ZERO, false, 1.0) < Duration::MAX);
+    let mut largest_fleet = CallSchedule::new(usize::MAX, Duration::from_secs(10));
+    assert!(largest_fleet.next(Duration::ZERO, false, 1.0) < Duration::MAX);
     let mut fleet = CallSchedule::new(300, Duration::from_secs(10));
-    let waits: Vec<_> = (0..9)
+    let delays: Vec<_> = (0..9)
         .map(|_| fleet.next(Duration::ZERO, false, 1.0))
         .collect();
     assert!(
-        waits
+        delays
             .iter()
-            .all(|&wait| wait <= Duration::from_millis(10_050)),
-        "{waits:?}"
+            .all(|&delay| delay <= Duration::from_millis(10_050)),
+        "{delays:?}"
     );
 }
--- a/crates/net/src/discovery/list_message.rs
+++ b/crates/net/src/discovery/list_message.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in the form in which discovery sends them.
+//! Endpoint lists in the wire format of discovery.
 
 use super::excerpt;
 use pumiceway_core::{Endpoint, EndpointAddress};
@@ -7,25 +7,25 @@
 use serde::Deserialize;
 use tracing::warn;
 
-/// A list, or the changes to one, as discovery sends it.
+/// A message of discovery: a snapshot of the endpoint list, or a delta to it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct ListMessage {
     /// Version of the list.
     #[serde(rename = "index")]
     pub version: u64,
-    /// The message holds the whole list.
+    /// Whether the message is a snapshot.
     #[serde(default)]
     pub snapshot: bool,
-    /// The endpoints.
+    /// The endpoints of the snapshot or delta.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An endpoint of a list.
+/// An endpoint as discovery lists it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Its `host:port`.
+    /// Its address, as `host:port`.
     #[serde(default)]
     pub address: String,
     /// Name of its zone.
@@ -39,15 +39,15 @@
     /// Its state.
     #[serde(rename = "status")]
     pub state: ListedState,
-    /// Its weight; the settings say what that means.
+    /// Its weight; the deployment settings define the meaning.
     pub weight: Option<f64>,
-    /// When its process started, in milliseconds since the Unix epoch; 0 for long ago.
+    /// When its process started, in milliseconds since the Unix epoch; 0 if that was long ago.
     #[serde(default, rename = "since_ms")]
     pub started_at_ms: u64,
 }
 
 impl ListedEndpoint {
-    /// An endpoint that has long been ready.
+    /// Creates an endpoint that is ready and whose process started long ago.
     pub fn ready(name: String, address: String, zone: String) -> ListedEndpoint {
         ListedEndpoint {
             name,
@@ -62,32 +62,32 @@
     }
 }
 
-/// State of an endpoint of a list.
+/// State of an endpoint as discovery lists it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// Finishes what it has.
+    /// The endpoint finishes its requests and must not be sent new ones.
     Draining,
-    /// Removed.
+    /// The endpoint has been removed.
     Gone,
 }
 
 impl ListMessage {
-    /// The endpoints in the terms of the core. One whose zone or kind the settings do not know is
-    /// left out.
+    /// Converts the endpoints to those of the core. Endpoints whose zone or kind the settings do
+    /// not define are skipped.
     pub fn endpoints(self, settings: &DeploymentSettings) -> Vec<Endpoint> {
-        let mut left_out = Vec::new();
+        let mut skipped = Vec::new();
         let mut endpoints = Vec::with_capacity(self.endpoints.len());
         for listed in self.endpoints {
             match listed.endpoint(settings) {
                 Ok(endpoint) => endpoints.push(endpoint),
-                Err(name) => left_out.push(name),
+                Err(name) => skipped.push(name),
             }
         }
-        if let Some(first) = left_out.first() {
-            let (endpoint, count) = (excerpt(first), left_out.len());
+        if let Some(first) = skipped.first() {
+            let (endpoint, count) = (excerpt(first), skipped.len());
             warn!(
                 endpoint,
                 count, "endpoints were left out: the settings lack their zone or type"
@@ -98,13 +98,14 @@
 }
 
 impl ListedEndpoint {
-    /// The endpoint in the terms of the core; its name where the settings lack its zone or kind.
+    /// Converts the endpoint to that of the core; returns its name as the error if the settings do
+    /// not define its zone or kind.
     fn endpoint(self, settings: &DeploymentSettings) -> Result<Endpoint, String> {
         let zone = settings.zone_id(self.zone.as_deref());
         let kind = settings.kind_id(self.kind.as_deref());
         let (zone, kind) = match (zone, kind) {
             (Some(zone), Some(kind)) => (zone, kind),
-            // What is gone is gone wherever it was.
+            // The removal of an endpoint applies whatever its zone or kind.
             (zone, kind) if self.state == ListedState::Gone => {
                 (zone.unwrap_or_default(), kind.unwrap_or_default())
             }
--- a/crates/net/src/discovery/message_decoder/tests.rs
+++ b/crates/net/src/discovery/message_decoder/tests.rs
@@ -1,8 +1,8 @@
-//! Streams that are cut into frames at any byte.
+//! Streams that are divided into frames at arbitrary positions.
 
 use super::*;
 
-/// The messages of a stream that is cut into frames of this length, and what is incomplete.
+/// Decodes a stream in frames of this length; returns the messages and the incomplete rest.
 fn decode(stream: &[u8], frame_length: usize) -> (Vec<String>, Vec<u8>) {
     let mut decoder = MessageDecoder::default();
     let mut messages = Vec::new();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn messages_are_the_same_however_the_stream_is_cut_into_frames() {
+fn messages_do_not_depend_on_how_the_stream_is_divided_into_frames() {
     let stream = "{\n \"a\": [1,\n 2]}\n\n{\"b\":\"}]{[\\\"\"}[3]nonsense\n\"open\n{\"c\"";
     let expected = [
         "{\n \"a\": [1,\n 2]}",
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_string_that_is_open_at_the_end_of_a_line_does_not_reach_into_the_next_message() {
+fn an_unterminated_string_does_not_extend_into_the_next_message() {
     let (messages, partial) = decode(b"{\"a\":\"x\n{\"b\":1}\n", 3);
     assert_eq!(messages, ["{\"a\":\"x\n", "{\"b\":1}", "\n"]);
     assert!(partial.is_empty());
--- a/crates/net/src/discovery/mod.rs
+++ b/crates/net/src/discovery/mod.rs
@@ -1,7 +1,8 @@
 //! Sources of endpoints: a discovery service and ZooKeeper.
 //!
 //! Each source runs as a task and sends its lists as [`SourceUpdate`]s. An update carries the
-//! earliest time at which it can have been true, as the lease of the list runs from then.
+//! earliest time at which it can have been valid, because the lease on the list starts at that
+//! time.
 
 mod body;
 mod call;
@@ -17,22 +18,21 @@
 use pumiceway_core::{EndpointListUpdate, EndpointSource};
 use tokio::time::Instant;
 
-/// Characters of a remote text that fit into a line of the log.
+/// Maximum length of a remote text in a log line, in characters.
 const EXCERPT_CHARS: usize = 200;
 
-/// An update of a source's endpoint list.
+/// An update of the endpoint list of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceUpdate {
     /// The source of the update.
     pub source: EndpointSource,
-    /// The earliest time at which the update can have been true.
+    /// The earliest time at which the update can have been valid.
     pub as_of: Instant,
     /// The update.
     pub update: EndpointListUpdate,
 }
 
-/// The beginning of a text, short enough for the log: a service may send megabytes that are not
-/// valid.
+/// Truncates a text for the log, because a service may send megabytes of malformed data.
 fn excerpt(text: &str) -> String {
     text.chars().take(EXCERPT_CHARS).collect()
 }
--- a/crates/net/src/discovery/watcher/error.rs
+++ b/crates/net/src/discovery/watcher/error.rs
@@ -3,28 +3,28 @@
 use crate::discovery::body::ReadError;
 use crate::discovery::call::CallError;
 
-/// A list, and each message of a watch, may be this long in bytes.
+/// Maximum length of a list or of a message of a watch, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Why a watch, or the calls that open it, ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    /// A call has no response.
+    /// A call failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// A response broke off, or nothing was received for too long.
+    /// Reading a response failed or timed out.
     #[error(transparent)]
     Read(#[from] ReadError),
     /// The service ended the watch.
     #[error("the service ended the watch")]
     Ended,
-    /// A message cannot be used: the next call requests a snapshot.
+    /// A message cannot be used; a snapshot is requested next.
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
-    /// The service stays at a version below one that it has sent before.
-    #[error("the service stays at an older version than it has sent before")]
+    /// The service stays at a version lower than one that it sent before.
+    #[error("the service stays at a lower list version than it sent before")]
     Outdated,
-    /// Nobody receives the updates any more.
+    /// The receiver of the updates was dropped.
     #[error("the receiver was dropped")]
     ReceiverDropped,
 }
@@ -32,23 +32,23 @@
 /// Why a message cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MalformedMessage {
-    /// It is not a list.
+    /// The message is not a list.
     #[error("{}:{}: {error}", error.line(), error.column())]
     Json {
         /// Where and why it cannot be parsed.
         #[from]
         error: serde_json::Error,
     },
-    /// It is longer than [`MAX_MESSAGE_BYTES`].
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
     #[error("message is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
-    /// It is a delta to a list that was never received.
+    /// The message is a delta, but no snapshot has been received.
     #[error("delta received before a snapshot")]
     DeltaWithoutList,
-    /// It is a delta to an older version than the one received before.
-    #[error("delta received that is older than the list")]
+    /// The message is a delta with a lower version than the list.
+    #[error("delta is older than the list")]
     OutdatedDelta,
-    /// The service numbers its versions from a lower one again, and sent only a delta.
-    #[error("the service has restarted its version numbers")]
+    /// The service restarted its numbering at a lower version, but sent only a delta.
+    #[error("the service restarted its list versions without a snapshot")]
     Renumbered,
 }
--- a/crates/net/src/discovery/watcher/mod.rs
+++ b/crates/net/src/discovery/watcher/mod.rs
@@ -1,14 +1,15 @@
-//! Follows a discovery service: requests the endpoint list, watches its changes, and starts again
+//! Watches a discovery service: requests the endpoint list, receives its changes, and reconnects
 //! when the watch ends.
 //!
-//! An update is dated with the earliest time at which it can have been true, and the end of a watch
-//! is an update too: the lease of the list depends on both. See `docs/design/membership.md`.
+//! Each update carries the earliest time at which it can have been valid, and the end of a watch is
+//! reported as an update too: the lease on the list depends on both. See
+//! `docs/design/membership.md`.
 
 mod error;
 mod versions;
 mod watch;
 
-use super::body::{DatedBody, ReadError};
+use super::body::{ReadError, TimestampedBody};
 use super::call::CallPolicy;
 use super::call_schedule::CallSchedule;
 use super::list_message::ListMessage;
@@ -27,32 +28,34 @@
 use versions::{ListVersions, VersionOrder};
 use watch::Watch;
 
-/// The service sends a line every 2 s. A watch without one for this long is given up.
-pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A service that sends only lower versions than before for this long has restarted its numbers.
-/// One that lags behind itself catches up long before: what it has to send counts as notified after
-/// 6 s.
+/// The service sends a line every 2 s. A watch that completes no message within this time is
+/// closed.
+pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A service that has sent only lower versions for this long has restarted its numbering. A service
+/// that merely lags behind an earlier version catches up long before: changes count as notified
+/// after 6 s.
 const RENUMBERED_AFTER: Duration = Duration::from_secs(60);
 
-/// Follows a discovery service and sends its endpoint list until the receiver is dropped.
+/// Watches a discovery service and sends its endpoint list until the receiver is dropped.
 pub struct DiscoveryWatcher {
-    /// To be notified when a request waits for the first list.
+    /// Notified when a request is waiting for the first list.
     pub demand: Arc<Notify>,
-    /// Versions that stay lower than before for this long are accepted.
+    /// Versions that have stayed lower than before for this long are accepted.
     pub renumbered_after: Duration,
     address: String,
     settings: Arc<DeploymentSettings>,
-    /// The service replaces one at another address.
+    /// Whether the service replaces one at another address.
     after_move: bool,
     updates: mpsc::Sender<SourceUpdate>,
     versions: ListVersions,
 }
 
 impl DiscoveryWatcher {
-    /// A watcher of the service at this `host:port`.
+    /// Creates a watcher of the service at `address`, a `host:port`.
     ///
-    /// `list_version` is the version of the list that is known already; without one the whole list
-    /// is requested first. `after_move`: a new configuration has moved the service to this address.
+    /// `list_version` is the version of the list that is already known; without one, the whole list
+    /// is requested first. `after_move` states that a reload has changed the address of discovery
+    /// to this one.
     pub fn new(
         address: String,
         settings: Arc<DeploymentSettings>,
@@ -71,23 +74,24 @@
         }
     }
 
-    /// Follows the service until the receiver of the updates is dropped.
+    /// Watches the service until the receiver of the updates is dropped.
     pub async fn run(mut self) {
         let mut schedule = CallSchedule::from_settings(&self.settings);
         self.wait_for_first_call(&schedule).await;
-        let mut is_malformed = false;
+        let mut last_was_malformed = false;
         loop {
             let version_before = self.versions.last();
             let called_at = Instant::now();
             let mut watch = None;
-            // A watch without a version begins with the next change, so the list comes first.
-            let list_first = is_malformed || version_before.is_none();
+            // A watch without a version starts with the next change, so the list is requested
+            // first.
+            let list_first = last_was_malformed || version_before.is_none();
             let Err(error) = self.list_and_watch(list_first, &mut watch).await;
             if matches!(error, WatchError::ReceiverDropped) {
                 return;
             }
-            is_malformed = matches!(error, WatchError::Malformed(_));
-            let (as_of, lease_signal) = lost_update(&error, watch.as_ref(), called_at);
+            last_was_malformed = matches!(error, WatchError::Malformed(_));
+            let (as_of, lease_signal) = lease_signal_at_end(&error, watch.as_ref(), called_at);
             warn!(
                 discovery = self.address,
                 reason = excerpt(&error.to_string()),
@@ -99,33 +103,33 @@
             if self.send(as_of, lost).await.is_err() {
                 return;
             }
-            // A call that was never answered is no watch that was open, however long it took:
-            // otherwise callers of a service that hangs would not back off.
+            // An unanswered call does not count as an open watch, however long it took; otherwise
+            // the callers of a service that hangs would not back off.
             let open_for = watch.map_or(Duration::ZERO, |watch| watch.opened_at.elapsed());
             let has_advanced = self.versions.last() > version_before;
             sleep(schedule.next(open_for, has_advanced, fastrand::f64())).await;
         }
     }
 
-    /// Dispatchers that start together must not call the service together, so each waits for a
-    /// random time, or a shorter one as soon as a request waits.
+    /// Waits for a random delay, so that dispatchers that start together do not call the service
+    /// together. The delay is shortened once a request is waiting.
     async fn wait_for_first_call(&self, schedule: &CallSchedule) {
-        let draw = fastrand::f64();
-        let wait = if self.after_move {
-            schedule.first_moved(draw)
+        let random = fastrand::f64();
+        let delay = if self.after_move {
+            schedule.first_moved(random)
         } else {
-            schedule.first(draw)
+            schedule.first(random)
         };
         tokio::select! {
-            () = sleep(wait) => {}
+            () = sleep(delay) => {}
             () = self.demand.notified() => {
-                sleep(schedule.on_demand(fastrand::f64()).min(wait)).await;
+                sleep(schedule.on_demand(fastrand::f64()).min(delay)).await;
             }
         }
     }
 
-    /// Requests the list if it has to come first, and follows a watch until that ends. `watch` is
-    /// set once the service has opened it.
+    /// Requests the list if `list_first` is set, then opens a watch and receives its messages until
+    /// it ends. `watch` is set once the service has opened the watch.
     async fn list_and_watch(
         &mut self,
         list_first: bool,
@@ -138,9 +142,9 @@
         let path = format!("/api/targets?stream=1&index={version}");
         let called_at = Instant::now();
         let response = self.call_policy().call(&self.address, &path).await?;
-        let body = DatedBody::new(response, called_at);
+        let body = TimestampedBody::new(response, called_at);
         let watch = watch.insert(Watch::open(called_at));
-        self.follow(watch, body).await
+        self.receive_messages(watch, body).await
     }
 
     /// Requests the whole list.
@@ -148,7 +152,7 @@
         let called_at = Instant::now();
         let policy = self.call_policy();
         let response = policy.call(&self.address, "/api/targets").await?;
-        let mut body = DatedBody::new(response, called_at);
+        let mut body = TimestampedBody::new(response, called_at);
         let deadline = Instant::now() + policy.timeout;
         let mut text = Vec::new();
         while let Some(part) = body.next(deadline).await? {
@@ -159,52 +163,55 @@
             return Ok(());
         }
         self.on_response_list(&text, called_at).await?;
-        // No watch sends what changes next, so the lease of this list must not run as if one did.
+        // No watch is open to send further changes, so this list must not have the lease of a
+        // watch.
         let lost = EndpointListUpdate::Lost(LeaseSignal::WatchEnded);
         self.send(called_at, lost).await
     }
 
     /// Receives the messages of a watch until it ends.
-    async fn follow(
+    async fn receive_messages(
         &mut self,
         watch: &mut Watch,
-        mut body: DatedBody,
+        mut body: TimestampedBody,
     ) -> Result<Infallible, WatchError> {
         let mut decoder = MessageDecoder::default();
-        // Of the message that comes next: when it began to arrive, and the earliest time at which
-        // it can have been written.
-        let mut begun_at = Instant::now();
+        // When the next message began to arrive, and the earliest time at which it can have been
+        // written.
+        let mut message_started_at = Instant::now();
         let mut as_of = watch.called_at;
         loop {
-            // A message has to be complete within the time of a silence, and the first message
-            // within that time of the opening: neither parts of it nor empty lines prolong this.
-            let waits_since = if watch.is_up_to_date {
-                begun_at
+            // A message must be complete within the timeout from its start, and the first message
+            // within the timeout from the opening of the watch. Neither partial data nor empty
+            // lines before the first message extend the timeout.
+            let timeout_start = if watch.is_up_to_date {
+                message_started_at
             } else {
                 watch.opened_at
             };
-            let frame = body.next(waits_since + SILENCE_TIMEOUT).await;
+            let frame = body.next(timeout_start + MESSAGE_TIMEOUT).await;
             let read_up_to = body.read_up_to();
             watch.last_seen_open = read_up_to;
             let Some(frame) = frame? else {
                 return Err(WatchError::Ended);
             };
             if decoder.partial().is_empty() {
-                begun_at = Instant::now();
+                message_started_at = Instant::now();
                 as_of = read_up_to;
             }
             let mut frame = &frame[..];
             while let Some(message) = decoder.next(&mut frame) {
                 check_length(&message)?;
                 self.on_watch_message(watch, &message, as_of).await?;
-                begun_at = Instant::now();
+                message_started_at = Instant::now();
                 as_of = read_up_to;
             }
             check_length(decoder.partial())?;
         }
     }
 
-    /// Takes in a message of the watch that was written at this time or later.
+    /// Handles a message of the watch. `as_of` is the earliest time at which it can have been
+    /// written.
     async fn on_watch_message(
         &mut self,
         watch: &mut Watch,
@@ -214,18 +221,19 @@
         if message.trim_ascii().is_empty() {
             return self.on_empty_line(watch, as_of).await;
         }
-        // The first message was composed when the watch was requested.
+        // The first message may have been composed as early as the call for the watch.
         let as_of = if watch.is_up_to_date {
             as_of
         } else {
             watch.called_at
         };
         self.on_watch_list(message, as_of).await?;
-        watch.updated();
+        watch.record_update();
         watch.is_up_to_date = true;
         Ok(())
     }
 
+    /// Handles an empty line, which confirms the list if it is a heartbeat.
     async fn on_empty_line(&mut self, watch: &mut Watch, as_of: Instant) -> Result<(), WatchError> {
         if !watch.accepts_heartbeat() {
             return Ok(());
@@ -234,17 +242,19 @@
             return Err(WatchError::Outdated);
         }
         self.send(as_of, EndpointListUpdate::Unchanged).await?;
-        watch.updated();
+        watch.record_update();
         Ok(())
     }
 
-    /// Takes in the response to a call for the list, as it was at this time or later.
+    /// Handles the response to a call for the list. `as_of` is the earliest time at which the list
+    /// can have been valid.
     async fn on_response_list(&mut self, text: &[u8], as_of: Instant) -> Result<(), WatchError> {
         let list = parse(text)?;
         self.on_list(list, as_of).await
     }
 
-    /// Takes in a list or a delta of a watch, as it was at this time or later.
+    /// Handles a snapshot or delta from a watch. `as_of` is the earliest time at which it can have
+    /// been valid.
     async fn on_watch_list(&mut self, text: &[u8], as_of: Instant) -> Result<(), WatchError> {
         let list = parse(text)?;
         if !list.snapshot {
@@ -253,12 +263,12 @@
         self.on_list(list, as_of).await
     }
 
-    /// Checks that a delta continues the list that was received.
+    /// Checks that a delta can be applied to the list that was received.
     fn check_delta(&self, delta: &ListMessage) -> Result<(), MalformedMessage> {
         let Some(version) = self.versions.last() else {
             return Err(MalformedMessage::DeltaWithoutList);
         };
-        // A service that lags behind itself would bring back an endpoint that has left.
+        // A service that lags behind an earlier version would restore an endpoint that is gone.
         if version > delta.version && !delta.endpoints.is_empty() {
             return Err(MalformedMessage::OutdatedDelta);
         }
@@ -319,9 +329,9 @@
     }
 }
 
-/// What the end of a watch means for the lease, and from when. `called_at` is when the calls for
-/// the watch were begun.
-fn lost_update(
+/// Returns the lease signal for the end of a watch and the time as of which it applies. `called_at`
+/// is when the calls for the watch were started.
+fn lease_signal_at_end(
     error: &WatchError,
     watch: Option<&Watch>,
     called_at: Instant,
@@ -329,8 +339,8 @@
     let Some(watch) = watch else {
         return (called_at, LeaseSignal::CallFailed);
     };
-    // A watch that is given up as silent was open until now.
-    let open_until = if matches!(error, WatchError::Read(ReadError::Silent)) {
+    // A watch that is closed because it timed out was open until now.
+    let open_until = if matches!(error, WatchError::Read(ReadError::TimedOut)) {
         Instant::now()
     } else {
         watch.last_seen_open
--- a/crates/net/src/discovery/watcher/versions.rs
+++ b/crates/net/src/discovery/watcher/versions.rs
@@ -1,8 +1,8 @@
-//! The versions of a discovery service.
+//! Tracks the list versions of a discovery service.
 //!
-//! Versions only rise, so a lower one than before comes from a service that lags behind itself, and
-//! must not bring back an endpoint that has left. But a service may also restart its numbers: if it
-//! sends lower versions only for long enough, they are accepted.
+//! Versions normally only increase. A lower version than before comes from a service that lags
+//! behind an earlier state, and must not restore an endpoint that is gone. A service may also
+//! restart its numbering: if it sends only lower versions for long enough, they are accepted.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -14,7 +14,7 @@
     Current,
     /// Below the highest version so far.
     Outdated,
-    /// Below the highest version so far, for so long that the service counts from here.
+    /// Below the highest version so far, for so long that the service has restarted its numbering.
     Renumbered,
 }
 
@@ -22,14 +22,14 @@
 #[derive(Debug)]
 pub(super) struct ListVersions {
     last: Option<u64>,
-    /// The highest version; it is above the last one while the service lags behind itself.
+    /// The highest version; above `last` while the service lags behind.
     highest: Option<u64>,
-    /// When the first of the versions below the highest was received, if no other came since.
+    /// When the first lower version was received, if only lower ones have been received since.
     outdated_since: Option<Instant>,
 }
 
 impl ListVersions {
-    /// Starts at the version of the list that is known already.
+    /// Starts at the version of the list that is already known, if any.
     pub(super) fn new(known: Option<u64>) -> ListVersions {
         ListVersions {
             last: known,
@@ -38,17 +38,18 @@
         }
     }
 
-    /// The version that was received last.
+    /// Returns the version that was received last.
     pub(super) fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether the service is at a version below the highest one that it has sent.
+    /// Returns whether the service is at a lower version than the highest one that it has sent.
     pub(super) fn is_outdated(&self) -> bool {
         self.highest > self.last
     }
 
-    /// Notes a version, as it was at this time or later.
+    /// Records a version and compares it with those before. `as_of` is the earliest time at which
+    /// the service can have been at this version.
     pub(super) fn observe(
         &mut self,
         version: u64,
--- a/crates/net/src/discovery/watcher/versions/tests.rs
+++ b/crates/net/src/discovery/watcher/versions/tests.rs
@@ -1,4 +1,4 @@
-//! Versions that rise, lag behind and restart.
+//! Versions that increase, lag behind and restart.
 
 use super::*;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_version_that_is_not_lower_restarts_the_time_of_the_lower_ones() {
+fn a_version_that_is_not_lower_resets_the_time_of_lower_versions() {
     let mut versions = ListVersions::new(Some(9));
     versions.observe(3, Instant::now(), RENUMBERED_AFTER);
     versions.observe(9, Instant::now(), RENUMBERED_AFTER);
--- a/crates/net/src/discovery/zookeeper.rs
+++ b/crates/net/src/discovery/zookeeper.rs
@@ -1,10 +1,10 @@
-//! Endpoints registered in ZooKeeper: each registers an ephemeral node, which the ensemble removes
-//! with the session of the endpoint.
+//! Endpoints registered in ZooKeeper. Each endpoint registers an ephemeral node, which the ensemble
+//! removes when the session of the endpoint ends.
 //!
-//! A node below the watched path is an endpoint of that name. Its data is an endpoint as discovery
-//! lists it, in JSON; `name` is the node's, `status` is `ready` and `since_ms` the node's creation
-//! unless the data says otherwise. The watch is a persistent recursive one, which servers support
-//! from version 3.6 on.
+//! A child of the watched path is an endpoint of the same name. Its data is a JSON object in the
+//! format of a discovery list entry. `name` is always the name of the node; `status` defaults to
+//! `ready` and `since_ms` to the creation time of the node. The watch is persistent and recursive,
+//! which requires ZooKeeper 3.6 or later.
 
 use super::{ListMessage, ListedEndpoint, SourceUpdate};
 use crate::config::ZooKeeperConfig;
@@ -22,21 +22,21 @@
     AddWatchMode, Client, EventType, PersistentWatcher, SessionState, WatchedEvent,
 };
 
-/// A call to the ensemble fails after this time.
+/// Timeout of a call to the ensemble.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// After this time without an event a call checks that the session is alive: its response comes
-/// after all events before it.
+/// After this time without an event, a call checks that the session is alive. Its response arrives
+/// after all events that preceded it.
 const SESSION_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// The mean wait before the next session after one that failed.
+/// Mean delay before a new session is opened after one has failed.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
-/// Follows the nodes and sends the endpoint list until the receiver is dropped.
+/// Watches the nodes and sends the endpoint list until the receiver is dropped.
 pub struct ZooKeeperSource {
-    /// Where the nodes are.
+    /// The ensemble and the path of the nodes.
     pub config: ZooKeeperConfig,
-    /// The names of zones and kinds that the nodes refer to.
+    /// The settings that define the zones and kinds named by the nodes.
     pub settings: Arc<DeploymentSettings>,
-    /// Where the updates go.
+    /// Receives the updates.
     pub updates: mpsc::Sender<SourceUpdate>,
 }
 
@@ -46,30 +46,30 @@
     /// A call failed.
     #[error(transparent)]
     Client(#[from] zookeeper_client::Error),
-    /// A call had no response in time.
-    #[error("no response in time")]
+    /// A call was not answered within [`CALL_TIMEOUT`].
+    #[error("timed out waiting for a response")]
     TimedOut,
     /// The ensemble ended the session.
-    #[error("session {0:?}")]
+    #[error("session ended: {0:?}")]
     Terminated(SessionState),
-    /// Nobody receives the updates any more.
+    /// The receiver of the updates was dropped.
     #[error("the receiver was dropped")]
     ReceiverDropped,
 }
 
-/// What an event of the watch requires.
-enum Reaction {
-    /// The nodes are to be listed.
-    List,
-    /// The connection to the ensemble is lost.
-    Disconnected,
+/// How to handle an event of the watch.
+enum EventAction {
+    /// List the nodes again.
+    ListNodes,
+    /// Report that the connection to the ensemble is lost.
+    ReportDisconnected,
 }
 
 impl ZooKeeperSource {
-    /// Opens sessions and follows the nodes until the receiver of the updates is dropped.
+    /// Opens sessions and watches the nodes until the receiver of the updates is dropped.
     pub async fn run(self) {
         loop {
-            let Err(error) = self.follow_session().await;
+            let Err(error) = self.run_session().await;
             if matches!(error, SessionError::ReceiverDropped) {
                 return;
             }
@@ -77,19 +77,20 @@
             if self.send_lost().await.is_err() {
                 return;
             }
-            // Dispatchers that lost their sessions together do not come back together.
+            // Jitter, so that dispatchers that lost their sessions together do not reconnect
+            // together.
             sleep(RECONNECT_DELAY.mul_f64(0.5 + fastrand::f64())).await;
         }
     }
 
-    /// Opens a session and follows the nodes until it ends.
-    async fn follow_session(&self) -> Result<Infallible, SessionError> {
+    /// Opens a session and watches the nodes until the session ends.
+    async fn run_session(&self) -> Result<Infallible, SessionError> {
         let connector = Client::connector()
             .with_session_timeout(self.config.session_timeout)
             .with_fail_eagerly();
         let client = connector.connect(&self.config.servers).await?;
         let path = &self.config.path;
-        // Before the nodes are listed, so that no change is missed between the two.
+        // The watch is added before the nodes are listed so that no change is missed in between.
         let mut watcher =
             with_timeout(client.watch(path, AddWatchMode::PersistentRecursive)).await?;
         loop {
@@ -98,15 +99,15 @@
         }
     }
 
-    /// Lists the nodes and sends them.
+    /// Lists the nodes and sends them as a snapshot.
     async fn send_list(&self, client: &Client) -> Result<(), SessionError> {
         let as_of = Instant::now();
-        let endpoints = self.list(client).await?.endpoints(&self.settings);
+        let endpoints = self.read_nodes(client).await?.endpoints(&self.settings);
         let snapshot = EndpointListUpdate::Snapshot(endpoints);
         self.send(as_of, snapshot).await
     }
 
-    /// Waits until the nodes have to be listed again, and confirms the list meanwhile.
+    /// Waits until the nodes have to be listed again, and confirms the list in the meantime.
     async fn wait_for_change(
         &self,
         client: &Client,
@@ -117,9 +118,9 @@
                 self.confirm(client).await?;
                 continue;
             };
-            match reaction(&event)? {
-                Reaction::List => return Ok(()),
-                Reaction::Disconnected => self.send_lost().await?,
+            match action_for(&event)? {
+                EventAction::ListNodes => return Ok(()),
+                EventAction::ReportDisconnected => self.send_lost().await?,
             }
         }
     }
@@ -131,15 +132,15 @@
         self.send(as_of, EndpointListUpdate::Unchanged).await
     }
 
-    /// The nodes as a list. One whose data cannot be parsed is left out.
-    async fn list(&self, client: &Client) -> Result<ListMessage, SessionError> {
+    /// Reads the nodes as a list. Nodes whose data cannot be parsed are skipped.
+    async fn read_nodes(&self, client: &Client) -> Result<ListMessage, SessionError> {
         let path = &self.config.path;
         let mut endpoints = Vec::new();
         for name in with_timeout(client.list_children(path)).await? {
             let node = format!("{path}/{name}");
             let (data, stat) = match with_timeout(client.get_data(&node)).await {
                 Ok(content) => content,
-                // Removed since the nodes were listed.
+                // The node was removed after the nodes were listed.
                 Err(_) if client.state() == SessionState::SyncConnected => continue,
                 Err(error) => return Err(error),
             };
@@ -175,15 +176,15 @@
     }
 }
 
-fn reaction(event: &WatchedEvent) -> Result<Reaction, SessionError> {
+fn action_for(event: &WatchedEvent) -> Result<EventAction, SessionError> {
     match (event.event_type, event.session_state) {
-        // After a reconnection the list shows what was missed.
-        (EventType::Session, SessionState::SyncConnected) => Ok(Reaction::List),
+        // After a reconnection the nodes are listed to pick up missed changes.
+        (EventType::Session, SessionState::SyncConnected) => Ok(EventAction::ListNodes),
         (EventType::Session, state) if state.is_terminated() => {
             Err(SessionError::Terminated(state))
         }
-        (EventType::Session, _) => Ok(Reaction::Disconnected),
-        _ => Ok(Reaction::List),
+        (EventType::Session, _) => Ok(EventAction::ReportDisconnected),
+        _ => Ok(EventAction::ListNodes),
     }
 }
 
@@ -196,7 +197,7 @@
     }
 }
 
-/// A node as an endpoint of a list.
+/// Parses the data of a node as an endpoint of a list.
 fn parse_node(
     name: &str,
     data: &[u8],
