--- a/crates/net/src/config/address.rs
+++ b/crates/net/src/config/address.rs
@@ -1,13 +1,13 @@
-//! Checks of network addresses, which are kept as text until they are resolved.
+//! Validation of network addresses. Host names are kept as text until they are resolved.
 
 use super::ConfigError;
 use std::net::SocketAddr;
 
-/// Parses the address that is written under a key.
+/// Parses the address in the value of `key`.
 ///
 /// # Errors
 ///
-/// The text is not an IP address with a port.
+/// Returns an error that names `key` if the text is not an IP address with a port.
 pub fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| {
         ConfigError::key(
@@ -17,7 +17,7 @@
     })
 }
 
-/// Whether the text ends in a colon and a port. The host may be a name.
+/// Returns whether the text ends with a colon and a port. The host is not checked.
 pub(super) fn is_host_and_port(text: &str) -> bool {
     text.rsplit_once(':')
         .is_some_and(|(_, port)| port.parse::<u16>().is_ok())
--- a/crates/net/src/config/error.rs
+++ b/crates/net/src/config/error.rs
@@ -1,19 +1,19 @@
-//! What can be wrong with the configuration.
+//! Errors in the configuration.
 //!
-//! An operator has to find the place from the message alone, so each error names the key at fault,
-//! or the file where there is no key.
+//! Operators must be able to locate a fault from the message alone, so each error names the key at
+//! fault, or the file if there is no key.
 
 use pumiceway_decisions::api::SettingsError;
 use pumiceway_decisions::settings::DeploymentSettingsError;
 
-/// What is wrong with the configuration.
+/// An error in the configuration.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
     /// A file cannot be read or parsed.
     #[error("{file}: {reason}")]
     File {
-        /// Its name.
+        /// Name of the file, which may include a line number.
         file: String,
         /// Why it cannot be used.
         reason: String,
@@ -29,7 +29,7 @@
 }
 
 impl ConfigError {
-    /// An error in the value of this key.
+    /// Creates an error in the value of this key.
     pub(super) fn key(key: &str, reason: impl ToString) -> ConfigError {
         ConfigError::Key {
             key: key.to_owned(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An error in this file as a whole.
+    /// Creates an error in this file as a whole.
     pub(super) fn file(file: &str, reason: impl ToString) -> ConfigError {
         ConfigError::File {
             file: file.to_owned(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Settings that can be parsed but cannot work, by the key at fault where there is one.
+/// Assigns errors in settings that were parsed successfully but are invalid to the key at fault.
 impl From<DeploymentSettingsError> for ConfigError {
     fn from(error: DeploymentSettingsError) -> ConfigError {
         let key = match &error {
--- a/crates/net/src/config/gearman.rs
+++ b/crates/net/src/config/gearman.rs
@@ -1,4 +1,4 @@
-//! The file that switches the Gearman frontend on.
+//! The configuration file of the Gearman frontend.
 
 use super::{ConfigError, Retention, parse_address, read_toml};
 use pumiceway_decisions::api::ClassId;
@@ -17,37 +17,37 @@
 const MAX_SLOTS: f64 = 1_000.0;
 const DEFAULT_SLOTS: f64 = 1.0;
 
-/// How the Gearman frontend is set up.
+/// The configuration of the Gearman frontend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GearmanConfig {
-    /// Where it listens.
+    /// Address on which the frontend listens.
     pub listen: SocketAddr,
-    /// Connections that it serves, of clients and workers together.
+    /// Maximum number of connections, of clients and workers together.
     pub connections: usize,
-    /// Jobs of its clients that may run at once.
+    /// Maximum number of jobs of its clients that run concurrently.
     pub jobs: usize,
-    /// Requests of all frontends that may be queued at once.
+    /// Maximum number of queued requests of all frontends.
     pub queue: usize,
-    /// Worker sessions have their whole capacity from the start, without slow start.
+    /// Worker sessions have their full capacity from the start, without slow start.
     pub skips_slow_start: bool,
-    /// What is kept for clients that send a job again.
+    /// What is retained for clients that submit a job again.
     pub retention: Retention,
-    /// The functions that clients may call, by name.
+    /// The functions that clients can call, by name.
     pub functions: BTreeMap<String, Function>,
 }
 
-/// What a Gearman function stands for.
+/// How the jobs of a Gearman function are handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Function {
-    /// Its class.
+    /// Class of the jobs.
     pub class: ClassId,
-    /// Slots that a job takes.
+    /// Slots that a job occupies.
     pub slots: f64,
-    /// Time from a job's arrival to its deadline.
+    /// Time from the arrival of a job to its deadline.
     pub deadline: Duration,
 }
 
-/// The file, as written.
+/// The configuration file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct GearmanFile {
@@ -58,7 +58,8 @@
     jobs: usize,
     #[serde(default = "default_queue")]
     queue: usize,
-    #[serde(default = "default_skips_slow_start", rename = "warm")]
+    #[serde(default = "default_skips_slow_start")]
+    #[serde(rename = "warm")]
     skips_slow_start: bool,
     #[serde(default = "default_retention_s")]
     retention_s: u64,
@@ -70,7 +71,7 @@
     functions: BTreeMap<String, FunctionEntry>,
 }
 
-/// A function of the file, as written.
+/// A function in the configuration file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FunctionEntry {
@@ -112,37 +113,39 @@
 }
 
 impl GearmanConfig {
-    /// Reads the file; `inbound` is how many connections of clients the process may serve.
+    /// Reads the configuration file. `inbound` is the maximum number of client connections of the
+    /// process.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a value cannot be used.
+    /// Returns an error if the file cannot be read or a value is invalid.
     pub fn from_file(
         file: &Path,
         deployment: &DeploymentSettings,
         inbound: usize,
     ) -> Result<GearmanConfig, ConfigError> {
-        let written: GearmanFile = read_toml(file)?;
-        written.check_limits(inbound)?;
-        let retention = written.retention();
+        let raw: GearmanFile = read_toml(file)?;
+        raw.check_limits(inbound)?;
+        let retention = raw.retention();
         let mut functions = BTreeMap::new();
-        for (name, entry) in written.functions {
+        for (name, entry) in raw.functions {
             let function = entry.function(&name, deployment)?;
             functions.insert(name, function);
         }
         let config = GearmanConfig {
-            listen: parse_address("listen", &written.listen)?,
-            connections: written.connections,
-            jobs: written.jobs,
-            queue: written.queue,
-            skips_slow_start: written.skips_slow_start,
+            listen: parse_address("listen", &raw.listen)?,
+            connections: raw.connections,
+            jobs: raw.jobs,
+            queue: raw.queue,
+            skips_slow_start: raw.skips_slow_start,
             retention,
             functions,
         };
         Ok(config.with_default_functions(deployment))
     }
 
-    /// The same configuration. If it has no functions, each class becomes one of the same name.
+    /// Returns the configuration with defaults: if it has no functions, one is added for each
+    /// class, with the name of the class.
     pub fn with_default_functions(mut self, deployment: &DeploymentSettings) -> GearmanConfig {
         if self.functions.is_empty() {
             let classes = deployment.classes.iter().enumerate();
@@ -155,14 +158,15 @@
 }
 
 impl GearmanFile {
-    /// Checks the numbers of the file; half of the connections of clients are left to HTTP.
+    /// Checks that the numbers are within their limits. Half of the client connections of the
+    /// process are reserved for HTTP.
     fn check_limits(&self, inbound: usize) -> Result<(), ConfigError> {
-        check_within("connections", self.connections, inbound / 2)?;
-        check_within("jobs", self.jobs, MAX_JOBS)?;
-        check_within("queue", self.queue, MAX_QUEUE)?;
-        check_within("retention_s", self.retention_s as usize, MAX_RETENTION_S)?;
-        check_within("kept_answers", self.kept_answers, MAX_KEPT_ANSWERS)?;
-        check_within("kept_mb", self.kept_mb, MAX_KEPT_MB)
+        check_range("connections", self.connections, inbound / 2)?;
+        check_range("jobs", self.jobs, MAX_JOBS)?;
+        check_range("queue", self.queue, MAX_QUEUE)?;
+        check_range("retention_s", self.retention_s as usize, MAX_RETENTION_S)?;
+        check_range("kept_answers", self.kept_answers, MAX_KEPT_ANSWERS)?;
+        check_range("kept_mb", self.kept_mb, MAX_KEPT_MB)
     }
 
     fn retention(&self) -> Retention {
@@ -176,7 +180,7 @@
 }
 
 impl FunctionEntry {
-    /// The function of this name.
+    /// Validates the entry of the function called `name`.
     fn function(
         &self,
         name: &str,
@@ -191,7 +195,7 @@
         if !(self.slots > 0.0 && self.slots <= MAX_SLOTS) {
             return Err(ConfigError::key(
                 &format!("functions.{name}.slots"),
-                format!("{} is not a number of slots", self.slots),
+                format!("{} is not above 0 and at most {MAX_SLOTS}", self.slots),
             ));
         }
         Ok(Function {
@@ -201,18 +205,18 @@
     }
 }
 
-/// A function whose jobs are those of a class.
+/// Creates a function whose jobs belong to a class.
 fn function_of_class(index: usize, class: &ClassSettings) -> Function {
     Function {
         class: ClassId(index),
         slots: DEFAULT_SLOTS,
-        // Not a shorter one: the decisions take a request with less remaining time for a retry of
-        // the client, which has waited already.
+        // The full deadline of the class: the decisions treat a request with less remaining time as
+        // a retry by a client that has already waited.
         deadline: Duration::from_micros(class.deadline_us),
     }
 }
 
-fn check_within(key: &str, value: usize, max: usize) -> Result<(), ConfigError> {
+fn check_range(key: &str, value: usize, max: usize) -> Result<(), ConfigError> {
     if (1..=max).contains(&value) {
         return Ok(());
     }
--- a/crates/net/src/config/mod.rs
+++ b/crates/net/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration of the dispatcher: where it is read, checked and given defaults.
+//! Reads and validates the configuration of the dispatcher and supplies its defaults.
 //!
-//! Nothing elsewhere reads a file or a variable. What can be wrong is found here at the start, and
-//! every error names its key or its file.
+//! No other module of this crate reads configuration files or environment variables. Errors are
+//! detected here at startup, and each one names the key or the file at fault.
 
 mod address;
 mod error;
@@ -28,49 +28,48 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// What the process may use.
+/// Limits on the resources of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Number of descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory, in MiB.
+    /// Maximum memory, in MiB.
     pub memory_mb: u64,
 }
 
-/// The configuration of a dispatcher at its start.
+/// The configuration with which a dispatcher starts.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the dispatcher.
     pub name: String,
-    /// Where the HTTP frontend listens.
+    /// Address on which the HTTP frontend listens.
     pub listen: SocketAddr,
-    /// The `host:port` of discovery; without one the endpoints come from elsewhere.
+    /// The `host:port` of discovery; `None` if endpoints come from other sources only.
     pub discovery: Option<String>,
-    /// The seed for random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// How descriptors are divided.
+    /// How file descriptors are divided between clients and endpoints.
     pub socket_budget: SocketBudget,
-    /// The endpoint list as this dispatcher last had it.
+    /// The last known endpoint list, with which this dispatcher starts.
     pub bootstrap_list: Option<ListMessage>,
-    /// The settings as written.
+    /// The deployment settings as written in the configuration.
     pub deployment: Arc<DeploymentSettings>,
-    /// The settings of the decisions.
+    /// The settings of the decisions, derived from the deployment settings.
     pub settings: Settings,
-    /// The Gearman frontend, where it is switched on.
+    /// The Gearman frontend, if enabled.
     pub gearman: Option<GearmanConfig>,
-    /// Endpoints registered in ZooKeeper, where that is switched on.
+    /// ZooKeeper as a source of endpoints, if enabled.
     pub zookeeper: Option<ZooKeeperConfig>,
-    /// The values of the keys that take a restart to change.
+    /// The values of the keys that require a restart to change.
     pub startup_values: StartupValues,
 }
 
 impl Config {
-    /// A configuration that does not come from the platform's document: the listener, the settings,
-    /// the endpoints, and what the process may use.
+    /// Creates a configuration that is not read from the platform's document.
     ///
     /// # Errors
     ///
-    /// The settings cannot work.
+    /// Returns an error if the settings are invalid.
     pub fn from_site(
         name: String,
         listen: SocketAddr,
@@ -98,7 +97,7 @@
     }
 }
 
-/// The text of a file.
+/// Reads a file as text.
 fn read_text(file: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(file)
         .map_err(|error| ConfigError::file(&file.display().to_string(), error))
--- a/crates/net/src/config/platform.rs
+++ b/crates/net/src/config/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's document: the JSON file that `ROUTER_CONFIG` names.
+//! The platform's document: the JSON configuration file named by `ROUTER_CONFIG`.
 //!
-//! Environment variables take precedence over the file. Every value is checked before anything is
-//! started, and an error names its key.
+//! Environment variables take precedence over the file. All values are validated before anything is
+//! started, and errors name the key at fault.
 
 use super::address::is_host_and_port;
 use super::sockets::check_limits;
@@ -14,7 +14,7 @@
 
 const DEFAULT_NAME: &str = "pumiceway";
 
-/// The document, as written.
+/// The document, before validation.
 #[derive(Deserialize)]
 struct PlatformDocument {
     name: Option<String>,
@@ -28,7 +28,7 @@
     settings: DeploymentSettings,
 }
 
-/// What the process may use.
+/// Limits on the resources of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -46,11 +46,13 @@
 }
 
 impl Config {
-    /// Reads the file named by `ROUTER_CONFIG`; the other variables take precedence over it.
+    /// Reads the file named by `ROUTER_CONFIG`. The other environment variables take precedence
+    /// over its values.
     ///
     /// # Errors
     ///
-    /// `ROUTER_CONFIG` is not set, the file cannot be read, or a value cannot be used.
+    /// Returns an error if `ROUTER_CONFIG` is not set, the file cannot be read, or a value is
+    /// invalid.
     pub fn from_environment(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let file =
             env("ROUTER_CONFIG").ok_or_else(|| ConfigError::key("ROUTER_CONFIG", "not set"))?;
@@ -58,11 +60,11 @@
         Config::from_text(&text, &file, env)
     }
 
-    /// Parses the text of that file.
+    /// Parses the text of the platform's document; `file` is its name in errors.
     ///
     /// # Errors
     ///
-    /// The text is not a configuration, or a value cannot be used.
+    /// Returns an error if the text is not a configuration or a value is invalid.
     pub fn from_text(
         text: &str,
         file: &str,
@@ -79,7 +81,7 @@
         if let Some(discovery) = &discovery {
             check_discovery(discovery)?;
         }
-        let seed = seed(document.seed.as_deref())?;
+        let seed = parse_seed(document.seed.as_deref())?;
         let limits = document.limits;
         check_limits(limits.sockets, limits.memory_mb)?;
         let settings = document.settings.to_settings()?;
@@ -103,10 +105,10 @@
 
 impl PlatformDocument {
     fn parse(text: &str, file: &str) -> Result<PlatformDocument, ConfigError> {
-        let mut parsed = serde_json::Deserializer::from_str(text);
-        serde_path_to_error::deserialize(&mut parsed).map_err(|error| {
+        let mut deserializer = serde_json::Deserializer::from_str(text);
+        serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
             let key = error.path().to_string();
-            // The path of the document itself.
+            // "." is the path of the document itself.
             if key == "." {
                 return ConfigError::file(file, error.inner());
             }
@@ -123,9 +125,9 @@
     Err(ConfigError::key("discovery", reason))
 }
 
-/// The seed for random numbers; drawn at random where none is written.
-fn seed(written: Option<&str>) -> Result<u64, ConfigError> {
-    let Some(text) = written else {
+/// Parses the seed of the random number generator; a missing one is chosen at random.
+fn parse_seed(text: Option<&str>) -> Result<u64, ConfigError> {
+    let Some(text) = text else {
         return Ok(fastrand::u64(..));
     };
     u64::from_str_radix(text, 16).map_err(|_| {
--- a/crates/net/src/config/reload.rs
+++ b/crates/net/src/config/reload.rs
@@ -1,22 +1,23 @@
-//! Reading of the configuration again while the dispatcher serves.
+//! Reloads the configuration of a running dispatcher.
 //!
-//! Only the address of discovery can change without a restart. All other keys are compared with
-//! their values at the start, so that the operator learns which of them take a restart.
+//! Only the address of discovery can be changed without a restart. All other keys are compared with
+//! their values at startup, to report which changes require a restart.
 
 use super::{Config, ConfigError};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys that may differ without a restart: `discovery` is applied at once, the seed is new with
-/// each start, and the bootstrap list (`known`) with each writing of the file.
+/// Keys whose changes do not require a restart: `discovery` is applied on reload, the seed may
+/// differ at each start, and the bootstrap list (`known`) may differ each time the file is written.
 const RELOADABLE_KEYS: [&str; 3] = ["discovery", "known", "seed"];
 
-/// The values of the keys that are read at the start only.
+/// The values of the keys that are only read at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StartupValues(BTreeMap<String, Value>);
 
 impl StartupValues {
-    /// The values in the text of a configuration; the settings are split into their keys.
+    /// Extracts the values from the text of a configuration. The settings are split into their
+    /// keys.
     pub(super) fn from_text(text: &str) -> StartupValues {
         let mut values: BTreeMap<String, Value> = serde_json::from_str(text).unwrap_or_default();
         values.retain(|key, _| !RELOADABLE_KEYS.contains(&key.as_str()));
@@ -27,7 +28,7 @@
         StartupValues(values)
     }
 
-    /// The keys whose values differ in another configuration, in order.
+    /// Returns the keys whose values differ between the two configurations, sorted.
     fn changed_keys(&self, other: &StartupValues) -> Vec<String> {
         let keys: BTreeSet<&String> = self.0.keys().chain(other.0.keys()).collect();
         keys.into_iter()
@@ -37,25 +38,25 @@
     }
 }
 
-/// What a configuration says that was read again while the dispatcher serves.
+/// The result of reloading the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reload {
-    /// The address of discovery from now on.
+    /// The new address of discovery.
     pub discovery: String,
-    /// Keys whose values differ from those at the start, and take a restart.
+    /// Keys whose values differ from those at startup and require a restart to be applied.
     pub restart_required: Vec<String>,
 }
 
 impl Reload {
-    /// Reads the file named by `ROUTER_CONFIG` again. Its `discovery` takes precedence over
-    /// `ROUTER_DISCOVERY`, which gives the address at the start; its bootstrap list is ignored, as
-    /// the list in use is newer.
+    /// Reads the file named by `ROUTER_CONFIG` again. Here its `discovery` takes precedence over
+    /// `ROUTER_DISCOVERY`, which only sets the address at startup. Its bootstrap list is ignored,
+    /// because the list in use is newer.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, a value cannot be used, or `discovery` is missing.
+    /// Returns an error if the file cannot be read, a value is invalid, or `discovery` is missing.
     pub fn read(
-        running: &StartupValues,
+        startup_values: &StartupValues,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Reload, ConfigError> {
         let config =
@@ -65,7 +66,7 @@
             .ok_or_else(|| ConfigError::key("discovery", "missing"))?;
         Ok(Reload {
             discovery,
-            restart_required: running.changed_keys(&config.startup_values),
+            restart_required: startup_values.changed_keys(&config.startup_values),
         })
     }
 }
--- a/crates/net/src/config/toml_file.rs
+++ b/crates/net/src/config/toml_file.rs
@@ -1,17 +1,17 @@
-//! Reading of TOML files, with errors that name the key and the line.
+//! Reads TOML files, with errors that name the key and the line.
 
 use super::{ConfigError, read_text};
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// What is wrong with a TOML text.
+/// An error in a TOML document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TomlError {
-    /// Where in the text it is, as an offset in bytes.
+    /// Byte offset of the error in the text, if known.
     pub location: Option<usize>,
-    /// The key at fault; empty where there is none.
+    /// The key at fault; empty if there is none.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
@@ -24,10 +24,10 @@
         }
     }
 
-    /// The same error as one of a file with this text.
+    /// Converts the error to one in a file that contains `text`.
     fn in_file(self, file: &Path, text: &str) -> ConfigError {
         let place = match self.location {
-            Some(offset) => format!("{}, line {}", file.display(), line_at(text, offset)),
+            Some(offset) => format!("{}, line {}", file.display(), line_number(text, offset)),
             None => file.display().to_string(),
         };
         if self.key.is_empty() {
@@ -37,16 +37,16 @@
     }
 }
 
-/// Parses a TOML text.
+/// Parses a TOML document.
 ///
 /// # Errors
 ///
-/// The text is not TOML, or does not have the form of `T`.
+/// Returns an error if the text is not valid TOML or cannot be deserialized as `T`.
 pub fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, TomlError> {
     let parsed =
         toml::Deserializer::parse(text).map_err(|error| TomlError::new(&error, String::new()))?;
     serde_path_to_error::deserialize(parsed).map_err(|error| {
-        let key = key_of(error.path());
+        let key = key_from_path(error.path());
         TomlError::new(error.inner(), key)
     })
 }
@@ -55,15 +55,15 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read, or [`parse_toml`] fails on its text.
+/// Returns an error if the file cannot be read or [`parse_toml`] fails.
 pub fn read_toml<T: DeserializeOwned>(file: &Path) -> Result<T, ConfigError> {
     let text = read_text(file)?;
     parse_toml(&text).map_err(|error| error.in_file(file, &text))
 }
 
-/// The key that a path stands for. The path of a spanned value has a segment for the wrapper, which
-/// is no part of the key.
-fn key_of(path: &serde_path_to_error::Path) -> String {
+/// Converts a path to a key. The path of a spanned value contains a segment for the wrapper type,
+/// which is not part of the key.
+fn key_from_path(path: &serde_path_to_error::Path) -> String {
     let path = path.to_string();
     let segments: Vec<&str> = path
         .split('.')
@@ -72,8 +72,8 @@
     segments.join(".")
 }
 
-/// The number of the line, from 1, that this offset in bytes lies in.
-fn line_at(text: &str, offset: usize) -> usize {
-    let line_ends = text.bytes().take(offset).filter(|&byte| byte == b'\n');
-    1 + line_ends.count()
+/// Returns the 1-based number of the line that contains this byte offset.
+fn line_number(text: &str, offset: usize) -> usize {
+    let newlines = text.bytes().take(offset).filter(|&byte| byte == b'\n');
+    1 + newlines.count()
 }
--- a/crates/net/src/config/zookeeper.rs
+++ b/crates/net/src/config/zookeeper.rs
@@ -1,4 +1,4 @@
-//! The file that makes ZooKeeper a source of endpoints.
+//! The configuration file that enables ZooKeeper as a source of endpoints.
 
 use super::address::is_host_and_port;
 use super::{ConfigError, read_toml};
@@ -10,18 +10,18 @@
 const DEFAULT_SESSION_TIMEOUT_MS: u64 = 6_000;
 const SESSION_TIMEOUT_RANGE_MS: RangeInclusive<u64> = 1_000..=60_000;
 
-/// Where endpoints register ephemeral nodes.
+/// The ZooKeeper ensemble and the path at which endpoints register ephemeral nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZooKeeperConfig {
-    /// The servers of the ensemble, as `host:port,host:port`.
+    /// The servers of the ensemble, as a comma-separated list of `host:port`.
     pub servers: String,
     /// The path whose children are endpoints.
     pub path: String,
-    /// The ensemble ends a session that is silent for this long.
+    /// The ensemble ends a session from which it receives nothing for this long.
     pub session_timeout: Duration,
 }
 
-/// The file, as written.
+/// The configuration file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ZooKeeperFile {
@@ -36,20 +36,20 @@
 }
 
 impl ZooKeeperConfig {
-    /// Reads the file.
+    /// Reads the configuration file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a value cannot be used.
+    /// Returns an error if the file cannot be read or a value is invalid.
     pub fn from_file(file: &Path) -> Result<ZooKeeperConfig, ConfigError> {
-        let written: ZooKeeperFile = read_toml(file)?;
-        check_servers(&written.servers)?;
-        check_path(&written.path)?;
-        check_session_timeout(written.session_timeout_ms)?;
+        let raw: ZooKeeperFile = read_toml(file)?;
+        check_servers(&raw.servers)?;
+        check_path(&raw.path)?;
+        check_session_timeout(raw.session_timeout_ms)?;
         Ok(ZooKeeperConfig {
-            servers: written.servers,
-            path: written.path,
-            session_timeout: Duration::from_millis(written.session_timeout_ms),
+            servers: raw.servers,
+            path: raw.path,
+            session_timeout: Duration::from_millis(raw.session_timeout_ms),
         })
     }
 }
@@ -58,7 +58,7 @@
     if servers.split(',').all(is_host_and_port) {
         return Ok(());
     }
-    let reason = format!("{servers:?} is not host:port,host:port");
+    let reason = format!("{servers:?} is not a comma-separated list of host:port");
     Err(ConfigError::key("servers", reason))
 }
 
@@ -75,7 +75,7 @@
         return Ok(());
     }
     let reason = format!(
-        "not between {} and {}",
+        "{session_timeout_ms} is not between {} and {}",
         SESSION_TIMEOUT_RANGE_MS.start(),
         SESSION_TIMEOUT_RANGE_MS.end()
     );
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher on sockets: frontends for clients, upstream connections to endpoints, discovery,
-//! and the event loop that runs the core between them.
+//! The network layer of the dispatcher: frontends for clients, upstream connections to endpoints,
+//! discovery, and the event loop that connects them to the core.
 
 pub mod config;
 pub mod discovery;
