--- a/crates/net/tests/deployments.rs
+++ b/crates/net/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Requests with idempotency keys, tenants, load reports and labels, as some deployments have them,
-//! against endpoints that the tests play.
+//! Idempotency keys, tenants, load reports and labels, which only some deployments use, with
+//! endpoints that are simulated by the tests.
 
 use pumiceway_test_support::ScenarioRunner;
 
@@ -11,14 +11,15 @@
      "dedup-scope":"zone","window-us":7500000}],
   "limits":{"most-tries":3,"cancel":true,"connect-timeout-us":250000,"conn-idle-us":10000000},"rules":{}}"#;
 
-fn play(endpoints: &[&str], script: &str) {
+/// Runs a scenario with a new dispatcher and these endpoints.
+fn run_scenario(endpoints: &[&str], script: &str) {
     ScenarioRunner::with_settings(endpoints, None, SETTINGS).continue_with(script);
 }
 
-// Without its key, an endpoint could not tell a request from another one.
+// Without the key, an endpoint cannot recognise a retry as the same request.
 #[test]
 fn a_request_keeps_its_idempotency_key_byte_for_byte_on_each_attempt() {
-    play(
+    run_scenario(
         &["w1", "w2"],
         r"c send raw POST /hold/k7?x=%20 HTTP/1.1\r\nX-Txn: h1\r\nX-Remaining-Ms: 5000\r\nIdempotency-Key: aB~9/+=\t.\r\nContent-Length: 2\r\n\r\nab
           w1 wait a
@@ -28,7 +29,7 @@
           b expect POST /hold/k7?x=%20 x-txn:\x20h1 idempotency-key:\x20aB~9/+=\x09.
           b send done 7
           c expect 200 7
-          # A class that needs no key forwards the one of its client, if there is one.
+          # A class that requires no key forwards the one of the client, if there is one.
           c send raw POST /lookup/k HTTP/1.1\r\nX-Txn: l1\r\nX-Remaining-Ms: 5000\r\nidempotency-key: KEY\r\nContent-Length: 0\r\n\r\n
           b expect POST /lookup/k x-txn:\x20l1 idempotency-key:\x20KEY
           b send done 8
@@ -63,10 +64,10 @@
                a expect POST /lookup/k t9
                a send done 1
                d expect 200 1";
-    play(&["w1"], &script);
+    run_scenario(&["w1"], &script);
 }
 
-/// The settings with further keys.
+/// Returns the settings with additional keys.
 fn settings(more: &str) -> String {
     SETTINGS.replacen('{', &format!("{{{more},"), 1)
 }
@@ -74,14 +75,14 @@
 const TENANTS: &str =
     r#""tenants":[{"name":"acme","quota-per-s":9},{"name":"other","quota-per-s":9}]"#;
 
-/// The step that sends a request with this header line.
+/// Returns the argument of the step that sends a request with this header line.
 fn request(header: &str, id: &str) -> String {
     format!(
         r"raw POST /lookup/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: 5000\r\n{header}Content-Length: 0\r\n\r\n"
     )
 }
 
-// Its work would count towards no quota.
+// Its work would not count towards any quota.
 #[test]
 fn a_request_whose_tenant_is_unknown_or_given_twice_reaches_no_endpoint() {
     let mut script = String::new();
@@ -99,7 +100,7 @@
             request(&format!("{tenant}\\r\\n"), &format!("t{n}"))
         );
     }
-    // The first request that the endpoint receives is a valid one.
+    // The first request that the endpoint receives is valid, so none of the invalid ones was sent.
     script += &format!(
         r"d send {}
           w1 wait a
@@ -116,7 +117,7 @@
     ScenarioRunner::with_settings(&["w1"], None, &settings(TENANTS)).continue_with(&script);
 }
 
-// The header has no meaning there, and must not keep requests out.
+// Without tenants the header has no meaning, and requests must not be rejected because of it.
 #[test]
 fn in_a_deployment_without_tenants_any_tenant_is_served() {
     let mut script = String::new();
@@ -133,12 +134,12 @@
             "a expect POST /lookup/k x-txn:\\x20t{n}\n a send done {n}\n c expect 200 {n}\n"
         );
     }
-    play(&["w1"], &script);
+    run_scenario(&["w1"], &script);
 }
 
-// Without the report, the next request would go to the same endpoint, whose queue is long. The
-// report of a rejected request is covered by the tests of upstreams, as an endpoint that rejects is
-// not used for a while whatever it reports.
+// Without the report, the next request would be sent to the same endpoint, whose queue is long.
+// Load reports of rejected requests are covered by the upstream tests, because an endpoint that
+// rejects a request is not used for a while, whatever it reports.
 #[test]
 fn the_load_report_of_a_completed_or_failed_request_decides_where_the_next_one_goes() {
     let reports = settings(r#""report":{"fields":["waiting","active","x0"],"via":"answers"}"#);
@@ -161,10 +162,10 @@
     }
 }
 
-// An endpoint has to recognise the repeated job of a Gearman client.
+// An endpoint must be able to recognise a job that a Gearman client submits again.
 #[test]
 fn the_unique_id_of_a_gearman_job_is_its_idempotency_key_on_each_attempt() {
-    play(
+    run_scenario(
         &["w1", "w2"],
         r"g send [SUBMIT_JOB hold|u/1|body]
           g expect [JOB_CREATED *]
@@ -175,7 +176,7 @@
           b expect POST /hold/u%2F1 idempotency-key:\x20u%2F1 body
           b send done 7
           g expect [WORK_COMPLETE *|7]
-          # Without a unique id the job's own id is the key; a class that needs no key has none.
+          # Without a unique id the id of the job is the key; a class that requires no key has none.
           g send [SUBMIT_JOB hold||body]
           g expect [JOB_CREATED *]
           b expect POST /hold/ idempotency-key:
@@ -189,8 +190,8 @@
     );
 }
 
-// A dispatcher of a large fleet must not wait for a turn, as if all of them shared the agent beside
-// it.
+// A dispatcher in a large fleet must not delay its calls as it would for a shared service, because
+// the agent is local.
 #[test]
 fn where_lists_are_pushed_the_agent_is_called_at_once() {
     let pushed = settings(r#""discovery":"automatic","n-instances":10000"#);
@@ -203,7 +204,7 @@
            d send + {"index":2,"snapshot":false,"endpoints":[{"name":"w1","address":"","zone":"z","type":"k","status":"draining"}]}"#,
     );
     runner.wait_until_listed("w1", "Draining");
-    // The same after a new configuration, and once an agent has closed the connection.
+    // The same applies after a reload, and after an agent has closed the connection.
     runner.reload("discovery2");
     runner.continue_with(
         r"discovery2 wait e
@@ -214,8 +215,8 @@
     );
 }
 
-// A label that the dispatcher has no use for must not keep a request out, nor a malformed one count
-// as 1.
+// A label that the dispatcher does not use must not cause a rejection, and a malformed value must
+// not be treated as 1.
 #[test]
 fn unknown_labels_are_ignored_and_malformed_ones_are_rejected() {
     let mut script = String::new();
@@ -236,5 +237,5 @@
             "t9"
         )
     );
-    play(&["w1"], &script);
+    run_scenario(&["w1"], &script);
 }
--- a/crates/net/tests/dispatcher_discovery.rs
+++ b/crates/net/tests/dispatcher_discovery.rs
@@ -1,12 +1,12 @@
-//! The dispatcher follows the watch of discovery, whatever that sends, on loopback.
+//! The watch of discovery by a whole dispatcher, with valid and malformed responses, on loopback.
 
 use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A dispatcher that polls discovery at a long interval, so that a slow response is waited for and
-/// no other call is made meanwhile.
+/// Starts a dispatcher that polls discovery, with a long poll interval, and runs a scenario. The
+/// dispatcher waits for slow responses without making another call.
 fn runner_with_long_poll_interval(endpoints: &[&str], script: &str) -> ScenarioRunner {
     let rules = r#""rules":{"ask-within-us":10000000},"discovery":"subscribe""#;
     let settings = SETTINGS.replacen(r#""rules":{}"#, rules, 1);
@@ -15,7 +15,7 @@
     runner
 }
 
-// A draining endpoint gets no job, and a malformed line does not end the watch for good.
+// A draining endpoint receives no jobs, and the dispatcher recovers from a malformed line.
 #[test]
 fn the_watch_is_followed_and_survives_malformed_lines() {
     runner_with_long_poll_interval(
@@ -63,7 +63,7 @@
         ),
         (&format!("d send 200\n {unknown}"), "2"),
     ];
-    // No job is sent before the list is confirmed.
+    // Jobs are not sent before the list is confirmed.
     let confirmed = "e send 200\n e send + {\"index\":2,\"snapshot\":false,\"endpoints\":[]}";
     let listed = "e send json {\"index\":2,\"snapshot\":false,\"endpoints\":[]}";
     let served = "c send POST /rate-push/k t1 5000 x
@@ -80,7 +80,7 @@
             &format!("{first_call}\n {response}\n {next_call}\n {confirmed}\n {served}"),
         );
     }
-    // After an unreadable delta, or one that is older than the list, the dispatcher asks for a
+    // After a malformed delta, or one that is older than the list, the dispatcher requests a
     // snapshot.
     for response in ["d send + {\"index\":\"x\"}", "d send + []", &older] {
         let first_call =
@@ -94,25 +94,24 @@
 }
 
 #[test]
-fn a_watch_whose_line_never_ends_is_given_up() {
+fn a_watch_whose_line_never_ends_is_closed() {
     let mut runner = runner_with_long_poll_interval(
         &["discovery"],
         "discovery wait d
          d expect GET /api/targets?stream=1&index=1
          d send 200",
     );
-    let given_up = Arc::new(AtomicBool::new(false));
-    let ended = given_up.clone();
-    let trickle = runner.send_slowly("d", Duration::from_millis(100), move || {
-        ended.load(Ordering::Relaxed)
+    let closed = Arc::new(AtomicBool::new(false));
+    let stop = closed.clone();
+    let sender = runner.send_slowly("d", Duration::from_millis(100), move || {
+        stop.load(Ordering::Relaxed)
     });
     runner.continue_with("discovery wait e\n e expect GET /api/targets?stream=1&index=1");
-    given_up.store(true, Ordering::Relaxed);
-    trickle.join().unwrap();
+    closed.store(true, Ordering::Relaxed);
+    sender.join().unwrap();
 }
 
-// The watch at the former address stays until the new one has sent a snapshot: a delta is not
-// enough.
+// The watch at the old address stays open until the service at the new address has sent a list.
 #[test]
 fn a_reload_moves_the_watch_once_a_snapshot_was_received() {
     let mut runner = runner_with_long_poll_interval(
@@ -127,14 +126,14 @@
         )
     };
     let w2 = runner.listener_port("w2");
-    // Twice, as signals may arrive close together: only one watch is opened.
+    // Reload twice, because signals may arrive close together: only one watch must be opened.
     runner.reload("discovery2");
     runner.reload("discovery2");
     let (drains, ready) = (line("w1", 1, "draining"), line("w2", w2, "ready"));
     runner.continue_with(&format!(
         r#"discovery2 wait e
            e expect GET /api/targets !stream
-           # The former watch is still in use: its delta makes w1 drain.
+           # The old watch is still in use: its delta drains w1.
            d send + {{"index":2,"snapshot":false,"endpoints":[{drains}]}}"#
     ));
     runner.wait_until_listed("w1", "Draining");
--- a/crates/net/tests/dispatcher_lifecycle.rs
+++ b/crates/net/tests/dispatcher_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start and shutdown of the dispatcher, on loopback.
+//! Startup and shutdown of the dispatcher, on loopback.
 
 use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 
@@ -41,7 +41,7 @@
          a expect POST /booking-import/k t1",
     );
     runner.request_stop();
-    // Clients may still connect, and get a response.
+    // Clients can still connect and receive a response.
     runner.continue_with(
         "d send POST /unknown/k t2 5000 x
          d expect 400
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of two kinds of deployment, as they are read from the text of a configuration.
+//! Parsing of the settings of two different deployments from the text of a configuration.
 
 use pumiceway_decisions::api::{
     Class, DeduplicationScope, Idempotency, LoadReportSource, Settings, ZoneId,
@@ -7,8 +7,8 @@
 use pumiceway_net::config::{Config, ConfigError};
 use std::time::Duration;
 
-/// Lists are polled, load reports come with health checks, there are no tenants, and endpoints queue
-/// first in first out.
+/// Lists are polled, load reports come with health checks, there are no tenants, and endpoints
+/// queue in FIFO order.
 const POLLED: &str = r#"{"clients":{"marks-retry":false},"discovery":"subscribe","domain-type":"jobs",
   "family-info":{"class-kind":[-1,-1],"class-priority":[0,1],"class-stretch":[2.5,2.0],"progress-us":2000000,
     "queue-order":"fifo","report-x0":"free slots","report-x1":"free memory","tells-start":true},
@@ -27,7 +27,8 @@
   "tenants":[],"tier":0,"weights":"none","zones":["north","south"]}"#;
 
 /// Lists are pushed, load reports come with responses, tenants have quotas, weights are live,
-/// endpoints queue by priority, and one class has idempotency keys that are known within a zone.
+/// endpoints queue by priority, and one class has idempotency keys whose deduplication scope is a
+/// zone.
 const PUSHED: &str = r#"{"discovery":"automatic",
   "family-info":{"class-kind":[-1,-1,-1],"class-priority":[0,0,1],"class-stretch":[2.5,2.0,2.0],"progress-us":0,
     "queue-order":"priority","tells-start":true},
@@ -50,7 +51,7 @@
     Config::from_text(&text, "config", |_| None)
 }
 
-/// The settings that differ between the two documents, by name.
+/// Returns the settings that differ between the two documents as pairs of name and value.
 fn describe(settings: &Settings) -> Vec<(&'static str, String)> {
     let us = |span: Duration| span.as_micros();
     let each_class = |describe: &dyn Fn(&Class) -> String| {
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn both_kinds_of_deployment_are_read_in_every_respect() {
+fn all_settings_of_both_deployments_are_parsed() {
     let expected = [
         ("polled", "true within 9000000", "false within 0"),
         ("reports", "HealthChecks", "Responses"),
@@ -149,7 +150,7 @@
         ("kinds", "1", "2"),
         ("tenants", "[]", "[30.5, 20.0]"),
         ("over quota", "0.2", "0.1"),
-        // Priorities count only where endpoints queue by them.
+        // Priorities only apply if endpoints queue by priority.
         ("priority", "0 0", "0 0 1"),
         ("stretch", "2.5 2", "2.5 2 2"),
         ("weight", "2 3", "5 5 15"),
--- a/crates/net/tests/watch_log.rs
+++ b/crates/net/tests/watch_log.rs
@@ -1,5 +1,5 @@
-//! What is logged about a watch. A test program of its own, as the subscribers of all threads in a
-//! process affect what each of them logs.
+//! The log output of a watch. This is a separate test binary because the subscribers of all threads
+//! of a process affect what each thread logs.
 
 use pumiceway_core::EndpointListUpdate;
 use pumiceway_decisions::settings::DeploymentSettings;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc;
 
-/// The warnings that are logged on a thread, with their fields.
+/// A subscriber that records warnings and errors with their fields.
 #[derive(Clone, Default)]
 struct Warnings(Arc<Mutex<Vec<String>>>);
 
@@ -46,16 +46,16 @@
     fn exit(&self, _: &tracing::span::Id) {}
 }
 
-// The log must not repeat megabytes of what discovery sends, nor have a line for each endpoint.
+// Malformed data must not be copied to the log in full, and there must not be a line per endpoint.
 #[test]
-fn a_malformed_message_is_logged_in_one_short_line_that_names_the_place() {
+fn a_malformed_message_is_logged_in_one_short_line_with_the_position() {
     let long = "x".repeat(1 << 20);
     let status = listing(2, false, &[line("w1", 1, &long)]);
-    let place = format!(
+    let position = format!(
         "1:{}: unknown variant `xxx",
         status.find(&long).unwrap() + long.len() + 1
     );
-    // A dispatcher that polls waits for a call that the test is slow to answer.
+    // Polling has a longer call timeout, so the test may be slow to respond.
     let polled = SETTINGS.replacen(r#""rules":{}"#, r#""rules":{},"discovery":"subscribe""#, 1);
     let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_str(&polled).unwrap());
     let unknown_zones = listing(
@@ -65,12 +65,12 @@
     );
     let endless = format!("{{\"index\":\"{}", "x".repeat(5 << 20));
     let cases = [
-        (status, place.as_str()),
+        (status, position.as_str()),
         (unknown_zones, "count=3"),
         (endless, "longer than 4194304 bytes"),
         ("[]]".into(), "1:2: invalid"),
     ];
-    for (sent, part) in cases {
+    for (sent, expected) in cases {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let (sender, mut updates) = mpsc::channel(1);
         let address = discovery.local_addr().unwrap().to_string();
@@ -88,7 +88,7 @@
         let mut peer = Peer::new(watch.try_clone().unwrap());
         peer.read_message().unwrap();
         peer.send("200");
-        // The dispatcher may close the connection before all is written.
+        // The watcher may close the connection before everything is written.
         let _ = write!(watch, "{:x}\r\n{sent}\n\r\n", sent.len() + 1);
         drop((watch, peer));
         while !matches!(
@@ -98,13 +98,13 @@
         let lines = std::mem::take(&mut *warnings.0.lock().unwrap());
         assert!(
             lines.iter().all(|line| line.len() < 500),
-            "{part}: {}",
+            "{expected}: {}",
             lines.concat().len()
         );
         assert_eq!(
-            lines.iter().filter(|line| line.contains(part)).count(),
+            lines.iter().filter(|line| line.contains(expected)).count(),
             1,
-            "{part}: {lines:?}"
+            "{expected}: {lines:?}"
         );
     }
 }
--- a/crates/net/tests/watches/drains.rs
+++ b/crates/net/tests/watches/drains.rs
@@ -1,4 +1,4 @@
-//! Drains that fall between two watches.
+//! Endpoints that start to drain between two watches.
 
 use crate::support::{Call, SOON, chunk, next_call, settings};
 use pumiceway_test_support::{Peer, ScenarioRunner, endpoint_line as line, listing, serve_each};
@@ -6,13 +6,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Nothing new is sent to a draining endpoint later than this after the notification.
+/// No new requests are sent to a draining endpoint later than this after the notification.
 const GRACE: Duration = Duration::from_millis(500);
 
-/// The requests that endpoints have received, and when.
+/// The requests that endpoints have received: the name of the endpoint and the time.
 type Received = Arc<Mutex<Vec<(&'static str, Instant)>>>;
 
-/// An endpoint that completes each request at once.
+/// Runs an endpoint that completes each request immediately.
 fn serve_endpoint(name: &'static str, listener: TcpListener, received: &Received) {
     let received = received.clone();
     listener.set_nonblocking(false).unwrap();
@@ -24,14 +24,14 @@
     });
 }
 
-/// How far a watch has come when it is reset.
+/// The progress of a watch when its connection is reset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ResetPoint {
     Unanswered,
     PartialHead,
     Open,
     PartialMessage,
-    /// The last message cannot be parsed, so that a call for the whole list comes first.
+    /// The last message cannot be parsed, so the dispatcher requests the whole list next.
     Malformed,
 }
 
@@ -43,12 +43,13 @@
     ResetPoint::Malformed,
 ];
 
-// The first list of the next watch sends the drain, or the call after that if the next watch is
-// reset too. It must not be missed, nor come so late that a new request is sent to the endpoint.
+// The drain is sent as the first list of the next watch, or of the one after it if the next one is
+// reset too. It must not be missed, nor be received so late that the endpoint is sent a new request
+// after the grace period.
 #[test]
 fn a_drain_right_after_a_watch_was_reset_is_received_from_the_next() {
-    // One of many dispatchers uses only a part of the capacity of two endpoints, and may leave one
-    // of them without requests: so there is only one.
+    // A single dispatcher: one of several would only use part of the capacity of the two endpoints,
+    // and might not send any requests to one of them.
     let cases = [
         ("subscribe", 1),
         ("subscribe", 2),
@@ -70,8 +71,7 @@
     }
 }
 
-/// `resets` watches are reset in a row, then the next one sends the drain, in a snapshot or in a
-/// delta.
+/// Resets `resets` consecutive watches; the next one sends the drain, in a snapshot or in a delta.
 #[allow(clippy::too_many_lines)] // one scenario, step by step
 fn drain_after_resets(discovery: &str, reset_point: ResetPoint, resets: usize, snapshot: bool) {
     let case = format!("{discovery}, {reset_point:?}, {resets} resets, snapshot {snapshot}");
@@ -91,13 +91,14 @@
     } else {
         listing(9, false, &lines("draining")[..1])
     };
-    // A first watch confirms the bootstrap list, and ends.
+    // The first watch confirms the bootstrap list and then ends.
     let mut first = next_call(&discovery, SOON).unwrap();
     first.peer.send("200");
     first.peer.send(&format!("+ {}", listing(1, false, &[])));
     let (mut sent, mut client) = (0, Peer::new(TcpStream::connect(runner.http).unwrap()));
-    // Where lists are pushed, what the agent has counts once its watch has ended: until the next
-    // one confirms the list, a request may be shed, but not sent.
+    // Where lists are pushed, changes that the agent holds count as notified once its watch has
+    // ended. Until the next watch confirms the list, a request may therefore be shed, but must not
+    // be sent.
     let mut request = |may_be_shed: bool| {
         sent += 1;
         client.send(&format!("POST /rate-push/k t{sent} 5000 x"));
@@ -110,8 +111,8 @@
             "{case}: {response}"
         );
     };
-    // The endpoint is in use, with a connection that is kept.
-    let begun = Instant::now();
+    // Send requests until the endpoint is in use, with a connection that is kept alive.
+    let started = Instant::now();
     while !received
         .lock()
         .unwrap()
@@ -119,7 +120,10 @@
         .any(|(endpoint, _)| *endpoint == "w1")
     {
         request(false);
-        assert!(begun.elapsed() < SOON, "{case}: the endpoint is never used");
+        assert!(
+            started.elapsed() < SOON,
+            "{case}: the endpoint is never used"
+        );
     }
     drop(first);
     let mut watch = next_call(&discovery, SOON).unwrap();
@@ -127,7 +131,7 @@
         ResetPoint::Unanswered => {}
         ResetPoint::PartialHead => watch.peer.send("raw HTTP/1.1 200 OK\\r\\nTransfer-Enc"),
         ResetPoint::Open | ResetPoint::PartialMessage | ResetPoint::Malformed => {
-            // The watch is open once its message has arrived.
+            // The watch is known to be open once its message has been applied.
             watch.peer.send("200");
             watch.peer.send(&format!(
                 "+ {}",
@@ -147,24 +151,24 @@
             .unwrap();
     };
     if reset_point == ResetPoint::Malformed {
-        // The message has been read once the dispatcher gives the watch up.
+        // The dispatcher closes the watch once it has read the message.
         watch.peer.send("+ nonsense");
         while watch.is_open() {
-            assert!(begun.elapsed() < SOON, "{case}: the watch is kept");
+            assert!(started.elapsed() < SOON, "{case}: the watch is still open");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
     reset(watch);
-    // From here on the list has changed, and each further call receives that.
+    // From now on the list contains the change, and it is sent in response to each further call.
     let changed_at = Instant::now();
     let mut service = Some(std::thread::spawn(move || {
         let mut first_request = None;
         for _ in 1..resets {
-            let call = next_call(&discovery, SOON).expect("no further call comes");
+            let call = next_call(&discovery, SOON).expect("no further call was made");
             first_request = first_request.or(Some(call.request.clone()));
             reset(call);
         }
-        let mut call = next_call(&discovery, SOON).expect("no further call comes");
+        let mut call = next_call(&discovery, SOON).expect("no further call was made");
         first_request = first_request.or(Some(call.request.clone()));
         let sent_at = Instant::now();
         if call.request.contains("stream=1") {
@@ -173,20 +177,20 @@
         } else {
             call.peer
                 .send(&format!("json {}", listing(9, true, &lines("draining"))));
-            // The lease of the list is short until a watch sends what changes next.
-            call = next_call(&discovery, SOON).expect("no watch is opened");
+            // The lease on the list is short until a watch is open to send further changes.
+            call = next_call(&discovery, SOON).expect("no watch was opened");
             call.peer.send("200");
             call.peer.send(&format!("+ {}", listing(9, false, &[])));
         }
         (first_request.unwrap_or_default(), sent_at, call, discovery)
     }));
-    // Requests come all the while, and for some time after the grace.
+    // Requests are sent throughout, and for some time after the grace period.
     let mut served = None;
     let grace_end = loop {
         if let Some(finished) = service.take_if(|service| service.is_finished()) {
             served = Some(finished.join().unwrap());
         }
-        // What an agent has counts as notified.
+        // Changes that an agent holds count as notified.
         let notified_at = served
             .as_ref()
             .map(|(_, sent_at, ..)| if is_pushed { changed_at } else { *sent_at });
@@ -218,10 +222,10 @@
     assert_eq!(
         received_late("w1"),
         0,
-        "{case}: sent to a draining endpoint after the grace"
+        "{case}: sent to a draining endpoint after the grace period"
     );
     assert!(
         received_late("w2") > 0,
-        "{case}: nothing is sent to the other endpoint"
+        "{case}: nothing was sent to the other endpoint"
     );
 }
--- a/crates/net/tests/watches/endpoints.rs
+++ b/crates/net/tests/watches/endpoints.rs
@@ -1,11 +1,12 @@
-//! Endpoints that leave, return and change their addresses.
+//! Endpoints that are removed, return and change their addresses.
 
 use crate::support::{WATCH_OPENED, polling_runner};
 use pumiceway_test_support::{endpoint_line as line, listing};
 
-// Nor is an endpoint that takes over an address taken for the one that was there before.
+// An endpoint is identified by its name, not by its address. An endpoint that takes over the
+// address of another one must not be treated as that endpoint.
 #[test]
-fn an_endpoint_that_returns_is_known_by_its_name_and_used_at_its_new_address() {
+fn an_endpoint_that_returns_is_identified_by_its_name_and_used_at_its_new_address() {
     let mut runner = polling_runner(&["w1", "w2", "discovery"]);
     let (old, new) = (runner.listener_port("w1"), runner.listener_port("w2"));
     let delta = |version, lines: &[String]| format!("d send + {}", listing(version, false, lines));
@@ -24,13 +25,13 @@
     ));
     runner.wait_until_listed("w2", "Gone");
     runner.continue_with(&request_served("a", "w1", "t1"));
-    // Gone, and back under its name at another address.
+    // The endpoint is removed and returns under the same name at another address.
     runner.continue_with(&delta(3, &[line("w1", old, "gone")]));
     runner.wait_until_listed("w1", "Gone");
     runner.continue_with(&delta(4, &[line("w1", new, "ready")]));
     runner.wait_until_listed("w1", "Ready");
     runner.continue_with(&request_served("b", "w2", "t2"));
-    // Its address goes to one of another name, which has a connection of its own.
+    // An endpoint with another name takes over the address and gets a new connection.
     runner.continue_with(&delta(
         5,
         &[line("w1", new, "gone"), line("w9", new, "ready")],
--- a/crates/net/tests/watches/main.rs
+++ b/crates/net/tests/watches/main.rs
@@ -1,4 +1,4 @@
-//! How a watch of discovery, and the calls for it, go on and end.
+//! The watch of a discovery service and the calls that open it.
 
 mod calls;
 mod drains;
--- a/crates/net/tests/watches/messages.rs
+++ b/crates/net/tests/watches/messages.rs
@@ -1,7 +1,8 @@
-//! What a watch or a call for the list sends, well formed or not.
+//! Valid and malformed messages of a watch and responses to calls for the list.
 
 use crate::support::{
-    SOON, WATCH_OPENED, chunk, indented, next_call, polling_runner, run_with_draws, watcher,
+    SOON, WATCH_OPENED, chunk, indented, next_call, polling_runner, run_with_random_numbers,
+    watcher,
 };
 use pumiceway_core::EndpointListUpdate;
 use pumiceway_decisions::rules::LeaseSignal;
@@ -10,10 +11,10 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-// Read line by line, an indented list would be many malformed messages: the dispatcher would
-// request whole lists again and again, and never have a watch.
+// If it were read line by line, an indented list would be parsed as many malformed messages, and
+// the dispatcher would request the whole list repeatedly without ever keeping a watch.
 #[test]
-fn messages_are_read_however_they_are_laid_out_and_cut_into_frames() {
+fn messages_are_parsed_regardless_of_layout_and_framing() {
     let (w1, w2, w3) = (
         line("w1", 1, "draining"),
         line("w2", 1, "draining"),
@@ -30,13 +31,13 @@
          d send {}
          d send {}",
         chunk(half),
-        // The rest of it, and another behind it in the same frame.
+        // The rest of the message, and further messages in the same frame.
         chunk(&format!(
             "{rest}\\n\\n{}\\n{}",
             indented(&listing(3, false, &[w2])),
             listing(4, false, &[odd])
         )),
-        // Without the end of a line behind it.
+        // A message without a newline at the end.
         chunk(&listing(5, false, &[w3])),
     ));
     for endpoint in ["w1", "w2", "w3"] {
@@ -45,10 +46,10 @@
     runner.continue_with("d close\n discovery wait e\n e expect GET /api/targets?stream=1&index=5");
 }
 
-// With nothing behind the half message, with blanks, or with the heartbeats of a discovery that has
-// nothing to send.
+// The incomplete message is followed by nothing, by spaces, or by the empty lines that a discovery
+// service sends as heartbeats.
 #[test]
-fn a_watch_whose_message_stays_incomplete_is_given_up() {
+fn a_watch_whose_message_stays_incomplete_is_closed() {
     let half = indented(&listing(2, false, &[line("w1", 1, "draining")]));
     let half = chunk(half.split_at(half.find("\"status\"").unwrap()).0);
     for filler in ["", " ", "\\n"] {
@@ -57,17 +58,20 @@
         let mut call = next_call(&discovery, SOON).unwrap();
         call.peer.send("200");
         call.peer.send(&half);
-        let begun = Instant::now();
+        let started = Instant::now();
         let next_request = loop {
             if let Some(next) = next_call(&discovery, Duration::from_millis(100)) {
                 break next.request;
             }
-            assert!(begun.elapsed() < SOON, "the watch is kept: {filler:?}");
+            assert!(
+                started.elapsed() < SOON,
+                "the watch is still open: {filler:?}"
+            );
             if !filler.is_empty() {
                 call.peer.send(&chunk(filler));
             }
         };
-        assert!(begun.elapsed() > Duration::from_secs(2), "{filler:?}");
+        assert!(started.elapsed() > Duration::from_secs(2), "{filler:?}");
         assert!(
             next_request.starts_with("GET /api/targets?stream=1&index=1 "),
             "{next_request}"
@@ -75,13 +79,13 @@
     }
 }
 
-// What is not received yet must not fill the memory of a dispatcher that has other things to do,
-// and the time in which it did not read is no silence of the service.
+// Updates that the event loop has not received yet must not accumulate in memory, and the time
+// during which the watcher does not read must not count towards the timeout of the watch.
 #[test]
-fn a_watch_that_sends_without_end_is_read_as_fast_as_updates_are_received() {
+fn a_watch_that_sends_continuously_is_read_only_as_fast_as_updates_are_received() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let (watcher, mut updates) = watcher(&discovery, 1);
-    run_with_draws(watcher, &[0.05]);
+    run_with_random_numbers(watcher, &[0.05]);
     let mut watch = next_call(&discovery, SOON).unwrap();
     watch.peer.send("200");
     watch
@@ -90,16 +94,17 @@
         .unwrap();
     let text = listing(2, false, &vec![line("w1", 1, "draining"); 1_000]);
     let text = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
-    // The buffers of the system hold some megabytes; without a bound all of it would be in ours.
+    // The socket buffers hold a few megabytes; without back-pressure the dispatcher would buffer
+    // all of the data.
     let written = (0..1_000)
         .take_while(|_| watch.stream.write_all(text.as_bytes()).is_ok())
         .count();
     assert!(
         written < 1_000,
-        "all of {} MB was taken in",
+        "all of {} MB was read",
         (written * text.len()) >> 20
     );
-    // Longer than the silence after which a watch is given up.
+    // Longer than the timeout of a watch without messages.
     std::thread::sleep(Duration::from_millis(2_700));
     for n in 0..written {
         let update = updates.blocking_recv().unwrap().update;
@@ -108,25 +113,25 @@
             "update {n} of {written}"
         );
     }
-    // The silence that follows ends the watch.
+    // Then nothing more is received, and the watch times out.
     assert_eq!(
         updates.blocking_recv().unwrap().update,
         EndpointListUpdate::Lost(LeaseSignal::WatchEnded)
     );
 }
 
-// A list that never ends, in time or in length, must not keep the dispatcher from the next call,
-// nor one that cannot be parsed remove what is known. An endpoint may be listed twice.
+// A list that never completes or is too long must not prevent the next call, and a list that cannot
+// be parsed must not remove known endpoints. A valid list may contain an endpoint twice.
 #[test]
-fn whatever_list_comes_the_last_valid_one_stays_and_the_list_is_requested_again() {
-    let trickling = "";
+fn after_an_invalid_list_the_last_valid_one_is_kept_and_the_list_is_requested_again() {
+    let incomplete = "";
     let huge = format!("{{\"index\":\"{}", "x".repeat(5 << 20));
     let valid = listing(
         2,
         true,
         &[line("w1", 1, "ready"), line("w1", 1, "draining")],
     );
-    for sent in [trickling, &huge, &format!("{valid}]"), "{}"] {
+    for sent in [incomplete, &huge, &format!("{valid}]"), "{}"] {
         let mut runner = polling_runner(&["w1", "discovery"]);
         let discovery = runner.take_listener("discovery");
         let mut watch = next_call(&discovery, SOON).unwrap();
@@ -140,18 +145,18 @@
         );
         list.peer.send("200");
         if !sent.is_empty() {
-            // The dispatcher may close the connection before all is written.
+            // The dispatcher may close the connection before everything is written.
             let _ = write!(list.stream, "{:x}\r\n{sent}\r\n0\r\n\r\n", sent.len());
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut next = loop {
             if let Some(next) = next_call(&discovery, Duration::from_millis(100)) {
                 break next;
             }
-            assert!(begun.elapsed() < SOON, "no further call comes");
+            assert!(started.elapsed() < SOON, "no further call was made");
             list.peer.send("raw 1\\r\\n \\r\\n");
         };
-        assert!(!list.is_open(), "the call is kept");
+        assert!(!list.is_open(), "the call is still open");
         runner.wait_until_listed("w1", "Ready");
         let path = if sent.is_empty() {
             "GET /api/targets?stream=1&index=1 "
--- a/crates/net/tests/watches/moves.rs
+++ b/crates/net/tests/watches/moves.rs
@@ -1,10 +1,9 @@
-//! New configurations that move discovery to another address.
+//! Reloads that change the address of discovery.
 
 use crate::support::{WATCH_OPENED, polling_runner};
 use pumiceway_test_support::{endpoint_line as line, listing};
 
-// Also where its first list is a delta, or its first calls are answered with 503, late or not at
-// all.
+// The first list may be a delta, and the first call may be answered late, with 503 or not at all.
 #[test]
 fn a_new_address_is_accepted_whatever_the_form_of_its_first_list() {
     let unavailable =
@@ -14,7 +13,7 @@
         runner.continue_with(WATCH_OPENED);
         runner.reload("discovery2");
         runner.continue_with("discovery2 wait e\n e expect GET /api/targets");
-        // The watch at the old address ends meanwhile, and is opened again.
+        // Meanwhile the watch at the old address ends and is reopened.
         runner.continue_with(
             "d close\n discovery wait d\n d expect GET /api/targets?stream=1&index=1\n d send 200",
         );
@@ -44,9 +43,9 @@
     }
 }
 
-// A move back must replace the watch that is there, too.
+// A change back to the original address must also replace the watch that is still open there.
 #[test]
-fn of_two_moves_in_a_row_the_last_one_counts_even_if_it_is_a_move_back() {
+fn of_two_consecutive_moves_the_last_one_counts_even_if_it_is_a_move_back() {
     for last in ["discovery", "discovery3"] {
         let mut runner = polling_runner(&["w1", "discovery", "discovery2", "discovery3"]);
         runner.continue_with(WATCH_OPENED);
@@ -56,7 +55,7 @@
         runner.continue_with(&format!(
             "{last} wait f
              f expect GET /api/targets
-             # The watch of the address between is given up.
+             # The watch at the intermediate address is closed.
              e expect end
              f send json {}
              {last} wait g
--- a/crates/net/tests/watches/support.rs
+++ b/crates/net/tests/watches/support.rs
@@ -1,4 +1,4 @@
-//! A discovery service that the tests play themselves.
+//! Utilities for tests that act as the discovery service.
 
 use pumiceway_decisions::settings::DeploymentSettings;
 use pumiceway_net::discovery::{DiscoveryWatcher, SourceUpdate};
@@ -9,28 +9,28 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// The steps of a scenario that open a watch from the bootstrap list, as `d`.
+/// The scenario steps that open a watch from the version of the bootstrap list, as connection `d`.
 pub const WATCH_OPENED: &str = "discovery wait d
      d expect GET /api/targets?stream=1&index=1
      d send 200";
 
-/// For what comes within some seconds, on a machine that has other things to do.
+/// Timeout for events that are expected within a few seconds; generous for busy machines.
 pub const SOON: Duration = Duration::from_secs(20);
 
-/// The same text on many lines, for a scenario.
+/// Spreads a JSON text over many lines, with escapes for a scenario.
 pub fn indented(text: &str) -> String {
     text.replace('{', "{\\n  ")
         .replace(",\"", ",\\n  \"")
         .replace('}', "\\n}")
 }
 
-/// A step of a scenario that sends this text as one chunk.
+/// Returns the argument of a scenario step that sends this text as one HTTP chunk.
 pub fn chunk(text: &str) -> String {
     let length = text.replace("\\n", "\n").len();
     format!("raw {length:x}\\r\\n{text}\\r\\n")
 }
 
-/// A call that the discovery service has accepted.
+/// A call that the test has accepted as the discovery service.
 pub struct Call {
     pub peer: Peer,
     pub stream: TcpStream,
@@ -39,7 +39,7 @@
 }
 
 impl Call {
-    /// Whether the dispatcher keeps the connection open.
+    /// Returns whether the dispatcher keeps the connection open.
     pub fn is_open(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.read(&mut [0; 16]);
@@ -48,10 +48,10 @@
     }
 }
 
-/// The next call; none if it does not come within this time.
-pub fn next_call(listener: &TcpListener, within: Duration) -> Option<Call> {
+/// Accepts the next call; returns `None` if there is none within the timeout.
+pub fn next_call(listener: &TcpListener, timeout: Duration) -> Option<Call> {
     listener.set_nonblocking(true).unwrap();
-    let end = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     loop {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
@@ -64,15 +64,15 @@
                 request,
             });
         }
-        if Instant::now() > end {
+        if Instant::now() > deadline {
             return None;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// The settings of the scenarios, for this mode of discovery, maximal poll interval and number of
-/// dispatchers.
+/// Returns the settings of the scenarios with this discovery mode, maximum poll interval and number
+/// of dispatchers.
 pub fn settings(discovery: &str, max_poll_interval_ms: u64, instances: usize) -> String {
     let rules = format!(
         r#""rules":{{"ask-within-us":{},"drain-grace-us":500000}}"#,
@@ -82,12 +82,14 @@
     SETTINGS.replacen(r#""rules":{}"#, &format!("{rules},{rest}"), 1)
 }
 
-/// A dispatcher that polls discovery: it waits for a call that the test is slow to answer.
+/// Starts a dispatcher that polls discovery. Its call timeout is long enough for slow responses of
+/// the test.
 pub fn polling_runner(listeners: &[&str]) -> ScenarioRunner {
     ScenarioRunner::with_settings(listeners, None, &settings("subscribe", 10_000, 1))
 }
 
-/// A watcher from version 1 of a service that this many dispatchers poll, and its updates.
+/// Creates a watcher, starting at version 1, of a service that is polled by `instances`
+/// dispatchers, and the receiver of its updates.
 pub fn watcher(
     discovery: &TcpListener,
     instances: usize,
@@ -100,14 +102,16 @@
     (watcher, updates)
 }
 
-/// Runs a watcher on a thread of its own, where its first random numbers are these, less than a
-/// tenth off.
-pub fn run_with_draws(watcher: DiscoveryWatcher, wanted: &'static [f64]) {
-    let is_near = |seed: &u64| {
+/// Runs a watcher on a separate thread, with a random seed for which its first random numbers are
+/// within 0.1 of the given ones.
+pub fn run_with_random_numbers(watcher: DiscoveryWatcher, random_numbers: &'static [f64]) {
+    let is_suitable = |seed: &u64| {
         let mut rng = fastrand::Rng::with_seed(*seed);
-        wanted.iter().all(|draw| (rng.f64() - draw).abs() < 0.1)
+        random_numbers
+            .iter()
+            .all(|wanted| (rng.f64() - wanted).abs() < 0.1)
     };
-    let seed = (0..).find(is_near).unwrap();
+    let seed = (0..).find(is_suitable).unwrap();
     std::thread::spawn(move || {
         fastrand::seed(seed);
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/net/tests/watches/versions.rs
+++ b/crates/net/tests/watches/versions.rs
@@ -1,13 +1,15 @@
-//! Lists whose versions are lower than those before.
+//! Lists with lower versions than earlier ones.
 
-use crate::support::{SOON, WATCH_OPENED, next_call, polling_runner, run_with_draws, watcher};
+use crate::support::{
+    SOON, WATCH_OPENED, next_call, polling_runner, run_with_random_numbers, watcher,
+};
 use pumiceway_core::EndpointListUpdate;
 use pumiceway_test_support::{endpoint_line as line, listing};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
 #[test]
-fn neither_an_older_list_nor_a_delta_to_it_takes_a_drain_back() {
+fn neither_an_older_list_nor_a_delta_to_it_reverts_a_drain() {
     let mut runner = polling_runner(&["w1", "w2", "discovery"]);
     let ready = |endpoint: &str| line(endpoint, 1, "ready");
     runner.continue_with(&format!(
@@ -23,7 +25,7 @@
     ));
     runner.wait_until_listed("w3", "Ready");
     runner.wait_until_listed("w1", "Draining");
-    // The same once more, from a watch that begins at that version.
+    // The same with a watch that starts at the lower version.
     runner.continue_with(&format!(
         "e close
          discovery wait f
@@ -34,8 +36,8 @@
     ));
     runner.wait_until_listed("w4", "Ready");
     runner.wait_until_listed("w1", "Draining");
-    // A service that lags behind itself sends such a delta until it has caught up: it is still
-    // behind the version that drained the endpoint.
+    // A service that lags behind sends such deltas until it has caught up with the version in which
+    // the endpoint started to drain.
     runner.continue_with(&format!(
         "f send + {}",
         listing(4, false, &[ready("w1"), ready("w5")])
@@ -44,17 +46,17 @@
     runner.wait_until_listed("w1", "Draining");
 }
 
-// A discovery that has restarted its versions must not count as one that lags behind for ever, nor
-// the other way round.
+// A service that has restarted its version numbers must not count as lagging indefinitely, and a
+// service that lags must not count as restarted too early.
 #[test]
-fn a_discovery_whose_versions_stay_lower_is_accepted_after_a_while() {
+fn lower_versions_are_accepted_once_they_have_persisted() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut watcher, mut updates) = watcher(&discovery, 1);
     watcher.renumbered_after = Duration::from_millis(1_500);
-    run_with_draws(watcher, &[0.05]);
+    run_with_random_numbers(watcher, &[0.05]);
     std::thread::spawn(move || {
-        let mut before = next_call(&discovery, SOON).unwrap();
-        before
+        let mut first_call = next_call(&discovery, SOON).unwrap();
+        first_call
             .peer
             .send(&format!("json {}", listing(9, false, &[])));
         loop {
@@ -71,19 +73,22 @@
         updates.blocking_recv().unwrap().update,
         EndpointListUpdate::Delta(vec![])
     );
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let update = updates.blocking_recv().unwrap().update;
-        assert!(begun.elapsed() < SOON, "it is never accepted");
+        assert!(
+            started.elapsed() < SOON,
+            "the lower version is never accepted"
+        );
         match update {
             EndpointListUpdate::Lost(_)
             | EndpointListUpdate::OutdatedDelta(_)
             | EndpointListUpdate::OutdatedSnapshot(_) => {}
             EndpointListUpdate::Snapshot(endpoints) => {
                 assert!(
-                    begun.elapsed() >= Duration::from_millis(1_500),
+                    started.elapsed() >= Duration::from_millis(1_500),
                     "{:?}",
-                    begun.elapsed()
+                    started.elapsed()
                 );
                 assert_eq!(endpoints.len(), 1);
                 break;
--- a/crates/net/tests/zookeeper.rs
+++ b/crates/net/tests/zookeeper.rs
@@ -1,5 +1,5 @@
-//! Endpoints registered in ZooKeeper, against a test double that implements the needed part of its
-//! protocol.
+//! Endpoints registered in ZooKeeper, with a stand-in that implements the required part of the
+//! ZooKeeper protocol.
 
 use pumiceway_net::config::ZooKeeperConfig;
 use pumiceway_test_support::{Peer, ScenarioRunner};
@@ -11,26 +11,26 @@
 
 const PATH: &str = "/pumiceway/workers";
 
-/// A list that is not confirmed is used for 6 s.
+/// Longer than the lease on a list that is not confirmed, which is 6 s.
 const LONGER_THAN_LEASE: Duration = Duration::from_millis(6_500);
 
-/// Operations of the protocol.
+/// Operation codes of the protocol.
 const GET_DATA: i32 = 4;
 const GET_CHILDREN: i32 = 8;
 const PING: i32 = 11;
 const GET_CHILDREN_2: i32 = 12;
 const ADD_WATCH: i32 = 106;
 
-/// Errors of the protocol.
+/// Error codes of the protocol.
 const NO_NODE: i32 = -101;
 const UNIMPLEMENTED: i32 = -6;
 
-/// Events of the protocol, and the state of a connected session.
+/// Event types of the protocol, and the state of a connected session.
 const NODE_CREATED: i32 = 1;
 const NODE_DELETED: i32 = 2;
 const SYNC_CONNECTED: i32 = 3;
 
-/// An ensemble with one directory of ephemeral nodes, whose watchers get every change.
+/// A ZooKeeper ensemble with the children of one node, which notifies watchers of each change.
 #[derive(Clone, Default)]
 struct Ensemble(Arc<Mutex<State>>);
 
@@ -38,23 +38,23 @@
 struct State {
     nodes: BTreeMap<String, String>,
     watchers: Vec<TcpStream>,
-    /// It reads requests and responds to none.
+    /// Requests are read but not answered.
     is_silent: bool,
 }
 
-/// A string or buffer of the protocol, with its length in front.
-fn text(value: &str) -> Vec<u8> {
+/// Encodes a string or buffer of the protocol, prefixed with its length.
+fn encode_string(value: &str) -> Vec<u8> {
     [&(value.len() as i32).to_be_bytes()[..], value.as_bytes()].concat()
 }
 
-/// A message of the protocol, with its length in front.
-fn frame(parts: &[&[u8]]) -> Vec<u8> {
+/// Encodes a message of the protocol, prefixed with its length.
+fn encode_message(parts: &[&[u8]]) -> Vec<u8> {
     let body = parts.concat();
     [&(body.len() as i32).to_be_bytes()[..], &body].concat()
 }
 
-/// The metadata of a node: czxid, mzxid, ctime, mtime, three versions, owner, length of the data,
-/// number of children, pzxid.
+/// Encodes the metadata of a node: czxid, mzxid, ctime, mtime, three versions, owner, length of the
+/// data, number of children, pzxid.
 fn stat(children: i32) -> Vec<u8> {
     let (long, int) = (
         |n: i64| n.to_be_bytes().to_vec(),
@@ -77,7 +77,7 @@
 }
 
 impl Ensemble {
-    /// Starts to listen; returns the address.
+    /// Starts to listen and returns the address.
     fn start(&self) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -91,7 +91,7 @@
         address
     }
 
-    /// Creates a node with this data or, without data, deletes it; watchers get an event.
+    /// Creates a node with this data, or deletes it if there is no data, and notifies the watchers.
     fn set(&self, name: &str, data: Option<String>) {
         let mut state = self.0.lock().unwrap();
         let event_type = if data.is_some() {
@@ -103,13 +103,13 @@
             Some(data) => drop(state.nodes.insert(name.to_owned(), data)),
             None => drop(state.nodes.remove(name)),
         }
-        let path = text(&format!("{PATH}/{name}"));
+        let path = encode_string(&format!("{PATH}/{name}"));
         let head = [
             (-1i32).to_be_bytes().to_vec(),
             (-1i64).to_be_bytes().to_vec(),
             0i32.to_be_bytes().to_vec(),
         ];
-        let event = frame(&[
+        let event = encode_message(&[
             &head.concat(),
             &event_type.to_be_bytes(),
             &SYNC_CONNECTED.to_be_bytes(),
@@ -120,7 +120,7 @@
             .retain_mut(|watcher| watcher.write_all(&event).is_ok());
     }
 
-    /// Closes every connection that has a watch.
+    /// Closes all connections with a watch.
     fn drop_sessions(&self) {
         for watcher in self.0.lock().unwrap().watchers.drain(..) {
             let _ = watcher.shutdown(std::net::Shutdown::Both);
@@ -135,13 +135,14 @@
             stream.read_exact(&mut body).ok()?;
             Some((body, stream.try_clone().ok()?))
         };
-        // The first request opens the session: protocol, last zxid, timeout, session id, password.
+        // The first request opens the session. Its fields are the protocol version, last zxid,
+        // timeout, session id and password.
         let Some((connect, mut out)) = read() else {
             return;
         };
         let timeout = &connect[12..16];
         let password = [&16i32.to_be_bytes()[..], &[1; 16]].concat();
-        let _ = out.write_all(&frame(&[
+        let _ = out.write_all(&encode_message(&[
             &0i32.to_be_bytes(),
             timeout,
             &7i64.to_be_bytes(),
@@ -167,7 +168,8 @@
                 }
                 PING => vec![],
                 GET_CHILDREN | GET_CHILDREN_2 => {
-                    let names: Vec<_> = state.nodes.keys().map(|name| text(name)).collect();
+                    let names: Vec<_> =
+                        state.nodes.keys().map(|name| encode_string(name)).collect();
                     let stat = if operation == GET_CHILDREN_2 {
                         stat(names.len() as i32)
                     } else {
@@ -182,7 +184,7 @@
                 }
                 GET_DATA => {
                     if let Some(data) = state.nodes.get(path().rsplit('/').next().unwrap()) {
-                        [text(data), stat(0)].concat()
+                        [encode_string(data), stat(0)].concat()
                     } else {
                         error = NO_NODE;
                         vec![]
@@ -194,27 +196,27 @@
                 }
             };
             let head = [xid, &1i64.to_be_bytes(), &error.to_be_bytes()].concat();
-            if out.write_all(&frame(&[&head, &body])).is_err() {
+            if out.write_all(&encode_message(&[&head, &body])).is_err() {
                 return;
             }
         }
     }
 }
 
-/// Waits until the endpoint list of the console has this line.
+/// Waits until the `routes` admin command lists this line.
 fn wait_until_listed(runner: &ScenarioRunner, line: &str) {
     for _ in 0..400 {
-        let mut console = Peer::new(TcpStream::connect(runner.gearman).unwrap());
-        console.send(r"raw routes\n");
-        if console.read_until(".\n").contains(line) {
+        let mut admin = Peer::new(TcpStream::connect(runner.gearman).unwrap());
+        admin.send(r"raw routes\n");
+        if admin.read_until(".\n").contains(line) {
             return;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("the endpoint list never has {line:?}");
+    panic!("the endpoint list never contains {line:?}");
 }
 
-/// A client's request is served by this endpoint.
+/// Sends a client's request and expects this endpoint to serve it.
 fn expect_served(runner: &mut ScenarioRunner, endpoint: &str, id: &str) {
     runner.continue_with(&format!(
         "c send POST /rate-push/k {id} 5000 x
@@ -225,7 +227,7 @@
     ));
 }
 
-/// A dispatcher that discovery has sent these endpoints, and that follows this ensemble.
+/// Starts a dispatcher with these endpoints from discovery and this ensemble as a further source.
 fn runner(endpoints: &[&str], ensemble: &Ensemble, session_timeout: Duration) -> ScenarioRunner {
     let config = ZooKeeperConfig {
         servers: ensemble.start(),
@@ -235,7 +237,7 @@
     ScenarioRunner::with_zookeeper(endpoints, Some(config))
 }
 
-/// An endpoint `z1` of the runner, which registers the node `aa`.
+/// Adds an endpoint `z1` to the runner and registers it as the node `aa`.
 fn register(runner: &mut ScenarioRunner, ensemble: &Ensemble) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -244,12 +246,13 @@
     ensemble.set("aa", Some(data));
 }
 
-// Nothing is sent to an endpoint whose node has gone, also while sessions end.
+// Requests must not be sent to an endpoint whose node was removed, even if the session of the
+// dispatcher ended in the meantime.
 #[test]
 fn an_ephemeral_node_is_an_endpoint_for_as_long_as_it_exists() {
     let ensemble = Ensemble::default();
     let mut runner = runner(&["w1", "w2"], &ensemble, Duration::from_secs(6));
-    // The endpoints of discovery are another source's, and stay.
+    // The endpoints from discovery belong to another source and are not affected.
     register(&mut runner, &ensemble);
     ensemble.set("bad", Some("nonsense".to_owned()));
     wait_until_listed(&runner, "aa\tReady");
@@ -261,15 +264,15 @@
     expect_served(&mut runner, "w1", "t2");
 }
 
-// The last list of an ensemble that is silent must not be used without end.
+// The last list of an ensemble that has stopped responding must not be used indefinitely.
 #[test]
 fn a_node_is_used_only_while_the_ensemble_responds() {
     let ensemble = Ensemble::default();
-    // Longer than the lease of the list: the session itself does not end before that.
+    // Longer than the lease on the list, so that the session does not end before the lease expires.
     let mut runner = runner(&["w1"], &ensemble, Duration::from_secs(60));
     register(&mut runner, &ensemble);
     wait_until_listed(&runner, "aa\tReady");
-    // Longer than the lease of a list that is not confirmed.
+    // The list stays in use for longer than an unconfirmed one, because the ensemble confirms it.
     std::thread::sleep(LONGER_THAN_LEASE);
     expect_served(&mut runner, "z1", "t1");
     ensemble.0.lock().unwrap().is_silent = true;
