--- a/crates/net/src/upstream/attempt.rs
+++ b/crates/net/src/upstream/attempt.rs
@@ -1,8 +1,8 @@
-//! The connection of an attempt, and how far the attempt has come.
+//! Tracks an attempt and the connection that carries it.
 //!
-//! An attempt has one outcome at most. Its abort and its end may cross, and the first of the two
-//! decides: an abort that comes after the end leaves the connection open, as it may carry another
-//! request.
+//! An attempt reports at most one outcome. Its abort may race with its end, and whichever comes
+//! first wins: an abort after the end leaves the connection open, because the connection may
+//! already carry another request.
 
 use super::client::AttemptObserver;
 use super::connection_abort::{ConnectionAbortHandle, NO_REQUEST};
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// The connection of an attempt, once it has one. Clones share it.
+/// Handle to an attempt and its connection, which is known once the pool has assigned one. Clones
+/// share the same state.
 #[derive(Clone)]
 pub struct AttemptConnection {
     captured: CaptureConnection,
@@ -22,12 +23,12 @@
 
 #[derive(Default)]
 struct AttemptState {
-    /// It has been aborted, or its outcome has been reported.
+    /// The attempt was aborted, or its outcome was reported.
     ended: AtomicBool,
-    /// The number of its request on its connection; [`NO_REQUEST`] before it is written.
-    request: AtomicU64,
-    /// The time by which it had to be written was over before it could be.
-    late: AtomicBool,
+    /// Number of the request on its connection; [`NO_REQUEST`] until it is about to be written.
+    request_number: AtomicU64,
+    /// The write deadline passed before the request could be written.
+    missed_write_deadline: AtomicBool,
 }
 
 impl AttemptConnection {
@@ -38,14 +39,14 @@
         }
     }
 
-    /// Closes the connection that the attempt is on, unless the attempt has ended.
+    /// Ends the attempt and closes its connection, unless the attempt has already ended.
     pub fn abort(&self) {
         if self.end() {
             self.close();
         }
     }
 
-    /// Ends the attempt. Returns whether it had not ended before.
+    /// Marks the attempt as ended. Returns `false` if it had already ended.
     pub(super) fn end(&self) -> bool {
         !self.state.ended.swap(true, Ordering::Relaxed)
     }
@@ -54,68 +55,70 @@
         self.state.ended.load(Ordering::Relaxed)
     }
 
-    /// Ends the attempt and reports how, unless it has ended before.
+    /// Ends the attempt and reports its outcome, unless the attempt has already ended.
     pub(super) fn report_end(&self, observer: &mut impl AttemptObserver, end: AttemptEnd) {
         if self.end() {
             observer.ended(end.outcome, end.report);
         }
     }
 
-    /// Closes its connection, unless that carries a later request.
+    /// Closes the attempt's connection, unless the connection already carries a later request.
     pub(super) fn close(&self) {
         if let Some(abort_handle) = self.abort_handle() {
-            abort_handle.abort(self.request());
+            abort_handle.abort(self.request_number());
         }
     }
 
-    /// Its request is the next that its connection writes.
+    /// Assigns the request its number: it is the next one to be written to the connection.
     pub(super) fn begin_request(&self) {
         if let Some(abort_handle) = self.abort_handle() {
             self.state
-                .request
+                .request_number
                 .store(abort_handle.begin_request(), Ordering::Relaxed);
         }
     }
 
-    /// Its response has begun.
+    /// Records that the head of the response was received.
     pub(super) fn begin_response(&self) {
         if let Some(abort_handle) = self.abort_handle() {
-            abort_handle.begin_response(self.request());
+            abort_handle.begin_response(self.request_number());
         }
     }
 
-    /// The time by which it had to be written is over.
-    pub(super) fn set_late(&self) {
-        self.state.late.store(true, Ordering::Relaxed);
+    /// Records that the write deadline passed before the request could be written.
+    pub(super) fn set_missed_write_deadline(&self) {
+        self.state
+            .missed_write_deadline
+            .store(true, Ordering::Relaxed);
     }
 
-    pub(super) fn is_late(&self) -> bool {
-        self.state.late.load(Ordering::Relaxed)
+    pub(super) fn missed_write_deadline(&self) -> bool {
+        self.state.missed_write_deadline.load(Ordering::Relaxed)
     }
 
-    /// Whether it got a connection.
+    /// Whether the pool assigned a connection to the attempt.
     pub(super) fn is_connected(&self) -> bool {
         self.captured.connection_metadata().is_some()
     }
 
-    /// Whether not a byte of its request was written to its connection. If so none ever is: the
-    /// connection is closed.
+    /// Returns whether no byte of the request was written. In that case the connection is closed,
+    /// so that none can be written later.
     pub(super) fn close_if_unwritten(&self) -> bool {
-        let request = self.request();
+        let request_number = self.request_number();
         self.abort_handle().is_some_and(|abort_handle| {
-            request != NO_REQUEST && abort_handle.close_if_unwritten(request)
+            request_number != NO_REQUEST && abort_handle.close_if_unwritten(request_number)
         })
     }
 
-    /// Whether any response has begun on its connection: before its own, that of an earlier
-    /// request.
-    pub(super) fn has_had_response(&self) -> bool {
+    /// Whether a response to any request was received on the connection. Before the attempt has its
+    /// own response, this means that the connection was reused.
+    pub(super) fn has_received_response(&self) -> bool {
         self.abort_handle()
-            .is_some_and(|abort_handle| abort_handle.has_had_response())
+            .is_some_and(|abort_handle| abort_handle.has_received_response())
     }
 
-    fn request(&self) -> u64 {
-        self.state.request.load(Ordering::Relaxed)
+    fn request_number(&self) -> u64 {
+        self.state.request_number.load(Ordering::Relaxed)
     }
 
     fn abort_handle(&self) -> Option<ConnectionAbortHandle> {
--- a/crates/net/src/upstream/client.rs
+++ b/crates/net/src/upstream/client.rs
@@ -1,7 +1,7 @@
-//! The HTTP client of one endpoint, and the attempts that it sends.
+//! The HTTP client of one endpoint, which sends attempts to it.
 //!
-//! An attempt is a future that the caller drives; its observer gets each update and, unless the
-//! future is dropped or the attempt aborted first, one outcome.
+//! An attempt is a future that the caller polls. Its observer is notified of each update and of
+//! exactly one outcome, unless the future is dropped or the attempt is aborted first.
 
 use super::attempt::AttemptConnection;
 use super::connector::Connector;
@@ -24,37 +24,37 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// An attempt may take this long to be written, on top of the time for its connection: the margin
-/// of a coarse timer.
+/// Time on top of the connect timeout within which the request of an attempt must be written. It
+/// allows for the resolution of the timer.
 pub(super) const WRITE_MARGIN: Duration = Duration::from_millis(25);
 
-/// The hyper client that opens, pools and closes the connections.
+/// The hyper client that opens, pools and closes connections to the endpoint.
 pub(super) type HttpClient = Client<Connector, RequestBody>;
 
-/// The terms of one attempt.
+/// Options of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOptions {
-    /// How long the response will be waited for; the endpoint learns it.
+    /// Time until the client stops waiting for the response; sent to the endpoint in a header.
     pub remaining: Duration,
-    /// Whether a new connection is opened for it, and closed after it.
+    /// Whether the attempt uses a new connection that is closed afterwards.
     pub dedicated_connection: bool,
-    /// No byte of it is written after this time.
+    /// The request is not sent if writing it has not begun by this time.
     pub write_by: Option<Instant>,
 }
 
-/// Where the updates of an attempt go, and its outcome.
+/// Receives the updates and the outcome of an attempt.
 pub trait AttemptObserver: Send + 'static {
-    /// An update while the attempt is in flight.
+    /// Called for each update while the attempt is in flight.
     fn updated(&self, update: AttemptUpdate);
-    /// The attempt has ended; called once at most.
+    /// Called at most once, when the attempt has ended.
     fn ended(&mut self, outcome: AttemptOutcome, report: Option<LoadReport>);
 }
 
-/// The client of one endpoint. Dropping it closes its idle connections.
+/// HTTP client of one endpoint. Dropping it closes its idle connections.
 #[derive(Clone)]
 pub struct UpstreamClient {
     pub(super) pooled: HttpClient,
-    /// Opens a connection for each request, and pools none.
+    /// Opens a new connection for each request and keeps none idle.
     pub(super) dedicated: HttpClient,
     pub(super) address: String,
     connect_timeout: Duration,
@@ -62,8 +62,8 @@
 }
 
 impl UpstreamClient {
-    /// A client for the endpoint at this address; all clients together have the sockets that the
-    /// semaphore counts.
+    /// Creates a client for the endpoint at `address`. All clients share the permits of `sockets`,
+    /// one for each open connection.
     pub fn new(address: &str, pool: PoolSettings, sockets: &Arc<Semaphore>) -> UpstreamClient {
         UpstreamClient {
             pooled: http_client(&pool, pool.max_idle_connections, sockets),
@@ -79,12 +79,13 @@
         &self.address
     }
 
-    /// An attempt, driven by the future; the observer gets one outcome unless the future is
-    /// dropped or the attempt aborted first.
+    /// Prepares an attempt to run `job`. The returned future sends the request and reads the
+    /// response; `observer` receives one outcome unless the future is dropped or the attempt is
+    /// aborted first.
     ///
     /// # Errors
     ///
-    /// The job cannot be written as an HTTP request.
+    /// Returns an error if the job cannot be encoded as an HTTP request.
     pub fn attempt<T: AttemptObserver>(
         &self,
         job: &Job,
@@ -111,7 +112,7 @@
         Ok((connection, attempt.run(client, request)))
     }
 
-    /// The request of an attempt, without its body.
+    /// Builds the request of an attempt with an empty body.
     fn request(
         &self,
         job: &Job,
@@ -129,8 +130,8 @@
         Ok(request)
     }
 
-    /// The time by which an attempt that starts now is written or given up: the time for its
-    /// connection, or an earlier limit of its own.
+    /// The write deadline of an attempt that starts now: `limit`, or the end of the connect timeout
+    /// and its margin if that is earlier.
     fn write_by(&self, limit: Option<Instant>) -> Instant {
         let latest = Instant::now() + self.connect_timeout + WRITE_MARGIN;
         limit.map_or(latest, |limit| latest.min(limit))
@@ -143,7 +144,7 @@
     sockets: &Arc<Semaphore>,
 ) -> HttpClient {
     Client::builder(TokioExecutor::new())
-        // hyper would send a request again by itself: an attempt that nobody counts.
+        // hyper's own retries would bypass the accounting of attempts.
         .retry_canceled_requests(false)
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(pool.idle_timeout)
@@ -154,7 +155,7 @@
         })
 }
 
-/// An attempt in flight.
+/// An attempt, with the names that identify it in log lines.
 struct Attempt<T> {
     request_id: String,
     endpoint: String,
@@ -190,7 +191,7 @@
                     endpoint = self.endpoint,
                     outcome = outcome.as_str(),
                     reason = failure::describe(&error),
-                    "attempt failed: its response cannot be used"
+                    "attempt failed: unusable response"
                 );
                 self.connection.close();
                 self.end(outcome, None);
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Ends it by a status other than 200. The body adds nothing, and may never end.
+    /// Ends the attempt according to a status other than 200. Does not wait for the body, which is
+    /// not needed and may never end.
     async fn end_by_status(&mut self, response: Response<Incoming>) {
         let outcome = response::outcome_of_status(&response);
         self.end(outcome, load_report::from_headers(&response));
@@ -212,7 +214,7 @@
             endpoint = self.endpoint,
             outcome = outcome.as_str(),
             reason = failure::describe(error),
-            "attempt failed before its response"
+            "attempt failed before a response was received"
         );
         self.end(outcome, None);
     }
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -1,7 +1,8 @@
-//! A connection to an endpoint that can be closed from outside.
+//! A connection to an endpoint that can be closed through an abort handle.
 //!
-//! A request whose connection was dead before its first byte has provably not run. So before that
-//! byte the socket itself is read: if it is not silent, nothing is written and the connection ends.
+//! A request has provably not run if its connection failed before the first byte was written.
+//! Therefore the socket is read directly before that byte: if it has data or has reached its end,
+//! nothing is written and the connection is closed.
 
 use super::connection_abort::ConnectionAbortHandle;
 use hyper_util::client::legacy::connect::{Connected, Connection};
@@ -13,16 +14,16 @@
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// A connection to an endpoint.
+/// A TCP connection to an endpoint, with its abort handle.
 pub(super) struct UpstreamConnection {
     stream: TcpStream,
     abort_handle: ConnectionAbortHandle,
-    /// Counts its socket among those that may be open.
+    /// Held while the connection is open; limits the number of open sockets.
     _permit: OwnedSemaphorePermit,
 }
 
 impl UpstreamConnection {
-    /// A connection that is up.
+    /// Wraps an established connection.
     pub(super) fn new(stream: TcpStream, permit: OwnedSemaphorePermit) -> UpstreamConnection {
         UpstreamConnection {
             stream,
@@ -38,36 +39,39 @@
         Ok(())
     }
 
-    /// Bounds what is read before a response. hyper skips interim responses: an endpoint that sends
-    /// them without end would keep the thread busy for as long as the attempt lasts.
+    /// Limits the bytes that are read before a response. hyper skips interim (1xx) responses, so an
+    /// endpoint that never stops sending them would keep the thread busy until the attempt ends.
     fn check_read(&self, bytes: usize) -> io::Result<()> {
         if self.abort_handle.count_read(bytes) {
             self.abort_handle.close();
-            return Err(io::Error::other("interim responses without end"));
+            return Err(io::Error::other(
+                "too many bytes of interim responses before the response",
+            ));
         }
         Ok(())
     }
 
     /// Before the first byte of a request, checks that the endpoint has neither closed the
-    /// connection nor sent anything: that would be taken as the response to this request.
+    /// connection nor sent data, which would be taken for the response to this request.
     fn check_write(&self) -> io::Result<()> {
         self.check_open()?;
-        if self.abort_handle.is_unwritten() && !self.is_silent() {
+        if self.abort_handle.is_unwritten() && !self.has_no_input() {
             self.abort_handle.close();
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 
-    /// Whether there is nothing to read. The runtime may not have seen an event of the socket yet,
-    /// so the socket itself is read; a byte that is there is of no use to anyone and may get lost.
-    fn is_silent(&self) -> bool {
+    /// Whether the socket is open and has nothing to read. Reads the socket directly, because the
+    /// runtime may not have polled its readiness yet. A byte that is read is lost, which does no
+    /// harm: the caller closes the connection.
+    fn has_no_input(&self) -> bool {
         let socket = SockRef::from(&self.stream);
         let mut socket: &Socket = &socket;
         matches!(socket.read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn note_written(&self, written: &Poll<io::Result<usize>>) {
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(bytes)) if *bytes > 0) {
             self.abort_handle.set_written();
         }
@@ -103,7 +107,7 @@
     ) -> Poll<io::Result<usize>> {
         self.check_write()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note_written(&written);
+        self.record_write(&written);
         written
     }
 
@@ -114,7 +118,7 @@
     ) -> Poll<io::Result<usize>> {
         self.check_write()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note_written(&written);
+        self.record_write(&written);
         written
     }
 
--- a/crates/net/src/upstream/connector.rs
+++ b/crates/net/src/upstream/connector.rs
@@ -1,4 +1,4 @@
-//! Opens connections to one endpoint, within a time and a number of sockets.
+//! Opens connections to one endpoint, subject to a timeout and a limit of open sockets.
 
 use super::connection::UpstreamConnection;
 use hyper::Uri;
@@ -16,12 +16,12 @@
 
 const DEFAULT_HTTP_PORT: u16 = 80;
 
-/// Opens connections to one endpoint.
+/// The connector that hyper calls for a new connection.
 #[derive(Clone)]
 pub(super) struct Connector {
-    /// The time for a connection to come up, the wait for a socket included.
+    /// Time to establish a connection, including the wait for a permit.
     pub(super) connect_timeout: Duration,
-    /// A permit for each socket that may be open.
+    /// One permit for each socket that may be open.
     pub(super) sockets: Arc<Semaphore>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 async fn open(uri: Uri, sockets: Arc<Semaphore>) -> io::Result<(OwnedSemaphorePermit, TcpStream)> {
-    // Where none is left, an idle connection is being closed and returns its permit in a moment.
+    // If no permit is free, an idle connection is being closed and will return its permit.
     let permit = sockets.acquire_owned().await.map_err(io::Error::other)?;
     let host = uri.host().unwrap_or_default().trim_matches(['[', ']']);
     let port = uri.port_u16().unwrap_or(DEFAULT_HTTP_PORT);
--- a/crates/net/src/upstream/failure.rs
+++ b/crates/net/src/upstream/failure.rs
@@ -1,7 +1,7 @@
-//! What a request proves that failed before its response.
+//! Classifies requests that failed before a response was received.
 //!
-//! The job never ran if there was no connection, if hyper returned the request unwritten, or if its
-//! connection took not a byte of it. In all other cases it may have run.
+//! The job has not run if there was no connection, if hyper returned the request unwritten, or if
+//! no byte of the request was written to the connection. In all other cases it may have run.
 
 use super::attempt::AttemptConnection;
 use hyper_util::client::legacy;
@@ -9,25 +9,25 @@
 use std::error::Error;
 use std::iter;
 
-/// The outcome of an attempt whose request failed before its response.
+/// The outcome of an attempt that failed before a response was received.
 pub(super) fn outcome(error: &legacy::Error, connection: &AttemptConnection) -> AttemptOutcome {
     let never_ran = error.is_connect()
         || !connection.is_connected()
         || connection.close_if_unwritten()
         || sources(error).any(is_returned_unwritten);
-    if connection.is_late() {
-        // This process stalled: that proves nothing about the endpoint.
+    if connection.missed_write_deadline() {
+        // The delay was in this process and says nothing about the endpoint.
         AttemptOutcome::NotSent
     } else if never_ran {
         AttemptOutcome::ConnectFailed
-    } else if connection.has_had_response() {
+    } else if connection.has_received_response() {
         AttemptOutcome::IdleConnectionReset
     } else {
         AttemptOutcome::Reset
     }
 }
 
-/// An error and its sources, for the log.
+/// Formats an error and its sources for the log.
 pub(super) fn describe(error: &dyn Error) -> String {
     sources(error).fold(error.to_string(), |text, source| {
         format!("{text}: {source}")
--- a/crates/net/src/upstream/headers.rs
+++ b/crates/net/src/upstream/headers.rs
@@ -1,12 +1,12 @@
-//! Names of the headers of requests to endpoints, and of their responses.
+//! Names of the HTTP headers in requests to endpoints and in their responses.
 
-/// The id that the client gave its request.
+/// The client's id of the request.
 pub(super) const REQUEST_ID: &str = "x-txn";
-/// How long the response will be waited for, in milliseconds.
+/// Remaining time of the request, in milliseconds.
 pub(super) const REMAINING_MS: &str = "x-remaining-ms";
-/// By this an endpoint recognises a job that is sent again.
+/// Lets an endpoint recognise repeats of a job.
 pub(super) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The endpoint rejected the request, and has not run its job.
+/// Set by an endpoint that rejected the request without running its job.
 pub(super) const REJECTED: &str = "x-turned-away";
-/// A load report.
+/// The endpoint's load report.
 pub(super) const LOAD_REPORT: &str = "x-pressure";
--- a/crates/net/src/upstream/health_check.rs
+++ b/crates/net/src/upstream/health_check.rs
@@ -1,7 +1,7 @@
-//! Health checks: requests for the load report of an endpoint.
+//! Health checks, which request the load report of an endpoint.
 //!
-//! A check that loses a reused connection is repeated on a new one, as an endpoint may drop an idle
-//! connection and be well. A check that is given up closes its connection.
+//! If a health check fails on a reused connection, it is repeated on a new one: a healthy endpoint
+//! may close idle connections. A health check that times out or is dropped closes its connection.
 
 use super::attempt::AttemptConnection;
 use super::client::{HttpClient, UpstreamClient};
@@ -15,15 +15,15 @@
 use pumiceway_decisions::api::{LoadReport, Outcome};
 use tokio::time::timeout;
 
-const PATH: &str = "/-/load";
-/// The longest load report, in bytes.
+const LOAD_REPORT_PATH: &str = "/-/load";
+/// Size limit of the response body. A larger body is not read as a load report.
 const MAX_REPORT_BYTES: usize = 16 << 10;
 
-/// The result of one request.
+/// The result of one health check request.
 struct CheckResult {
     outcome: Outcome,
     report: Option<LoadReport>,
-    /// The request failed on a connection that had carried a response before.
+    /// The request failed on a connection that had carried an earlier response.
     lost_reused_connection: bool,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The connection of a check in flight; dropped before the check ends, it is closed.
+/// Closes the connection of a health check if it is dropped before the check has ended.
 struct CheckConnection(AttemptConnection);
 
 impl Drop for CheckConnection {
@@ -47,16 +47,19 @@
 }
 
 impl UpstreamClient {
-    /// Requests the load report of the endpoint. A check that takes too long has the outcome
-    /// [`Outcome::Timeout`].
+    /// Requests the load report of the endpoint. The outcome is [`Outcome::Timeout`] if the health
+    /// check, with its repetition, exceeds its timeout.
     pub async fn check_health(&self) -> (Outcome, Option<LoadReport>) {
-        let result = timeout(self.health_check_timeout, self.check_reused_then_new())
-            .await
-            .unwrap_or(CheckResult::failed(Outcome::Timeout));
+        let result = timeout(
+            self.health_check_timeout,
+            self.check_pooled_then_dedicated(),
+        )
+        .await
+        .unwrap_or(CheckResult::failed(Outcome::Timeout));
         (result.outcome, result.report)
     }
 
-    async fn check_reused_then_new(&self) -> CheckResult {
+    async fn check_pooled_then_dedicated(&self) -> CheckResult {
         let result = self.check_once(&self.pooled).await;
         if result.lost_reused_connection {
             return self.check_once(&self.dedicated).await;
@@ -65,8 +68,8 @@
     }
 
     async fn check_once(&self, client: &HttpClient) -> CheckResult {
-        let request =
-            Request::get(format!("http://{}{PATH}", self.address)).body(RequestBody::default());
+        let request = Request::get(format!("http://{}{LOAD_REPORT_PATH}", self.address))
+            .body(RequestBody::default());
         let Ok(mut request) = request else {
             return CheckResult::failed(Outcome::ConnectFailed);
         };
@@ -76,7 +79,7 @@
             Ok(response) => read_response(response, &check.0).await,
             Err(error) if error.is_connect() => CheckResult::failed(Outcome::ConnectFailed),
             Err(_) => CheckResult {
-                lost_reused_connection: check.0.has_had_response(),
+                lost_reused_connection: check.0.has_received_response(),
                 ..CheckResult::failed(Outcome::Reset)
             },
         }
--- a/crates/net/src/upstream/load_report.rs
+++ b/crates/net/src/upstream/load_report.rs
@@ -1,23 +1,23 @@
-//! Load reports of endpoints, as a header, in the last line of a response, or as the response to a
-//! health check.
+//! Parses the load reports of endpoints: from a header, from the final line of a response, or from
+//! the response to a health check.
 //!
-//! A report is `name=value,name=value` or a JSON object. Values that are no numbers are skipped; a
-//! text without any value is no report.
+//! A load report is `name=value,name=value` or a JSON object. Values that are not numbers are
+//! skipped. A text of the first form without a single number is not a load report.
 
 use super::headers;
 use hyper::Response;
 use pumiceway_decisions::api::LoadReport;
 use pumiceway_decisions::settings::DeploymentSettings;
 
-/// A JSON object, its values by name.
+/// A JSON object.
 pub(super) type JsonObject = serde_json::Map<String, serde_json::Value>;
 
-/// The load report in the headers of a response.
+/// Parses the load report in the headers of a response.
 pub(super) fn from_headers<B>(response: &Response<B>) -> Option<LoadReport> {
     parse(response.headers().get(headers::LOAD_REPORT)?.as_bytes())
 }
 
-/// Reads a load report in either form.
+/// Parses a load report in either form.
 pub(super) fn parse(text: &[u8]) -> Option<LoadReport> {
     let text = std::str::from_utf8(text).ok()?.trim();
     if text.starts_with('{') {
@@ -30,7 +30,7 @@
     Some(DeploymentSettings::build_load_report(values.into_iter()))
 }
 
-/// The load report in a JSON object.
+/// Converts a JSON object to a load report.
 pub(super) fn from_json(object: &JsonObject) -> LoadReport {
     let numbers = object
         .iter()
--- a/crates/net/src/upstream/mod.rs
+++ b/crates/net/src/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! Upstream: the endpoints that are reached over HTTP, each through a client of its own.
+//! HTTP clients of the endpoints, one for each endpoint.
 //!
-//! What an attempt proves decides whether its job may be sent again: it never ran if not a byte of
-//! its request was written, and it may have run in all other cases until a response says how it
-//! ended. An attempt has one outcome at most, and its connection is reused only after a whole
-//! response.
+//! The outcome of an attempt determines whether its job may be sent again. The job has not run if
+//! no byte of the request was written; otherwise it may have run, unless the response says how it
+//! ended. An attempt has at most one outcome, and its connection is reused only after the response
+//! was read to its end.
 
 mod attempt;
 mod client;
--- a/crates/net/src/upstream/pool_settings.rs
+++ b/crates/net/src/upstream/pool_settings.rs
@@ -1,51 +1,51 @@
-//! How connections to endpoints are opened, pooled and checked.
+//! Settings for opening, pooling and checking connections to endpoints.
 
 use crate::config::SocketBudget;
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::time::Duration;
 
-/// The time for a health check, at least; more where connecting may take long.
+/// Lower limit of the health check timeout; the timeout is longer if the connect timeout is long.
 pub(super) const MIN_HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// A health check has at least this time left once its connection is up.
+/// Time that a health check has at least for its response, once its connection is established.
 const HEALTH_CHECK_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are closed after this time where the deployment names none.
+/// Idle timeout if the deployment settings do not specify one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// One endpoint may have one in this many of all sockets as idle connections ...
-const IDLE_DIVISOR: usize = 64;
-/// ... and at least this many.
-const MIN_IDLE_CONNECTIONS: usize = 2;
+/// The limit of idle connections to one endpoint is the number of outbound sockets divided by this.
+const IDLE_LIMIT_DIVISOR: usize = 64;
+/// Lower bound of the limit of idle connections to one endpoint.
+const MIN_IDLE_LIMIT: usize = 2;
 
-/// How connections to endpoints are opened, pooled and checked.
+/// Settings for opening, pooling and checking connections to endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolSettings {
-    /// A connection that is not up within this time has failed.
+    /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this time.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// A health check that takes longer has failed; the time to connect counts.
+    /// Time within which a health check must complete, including the time to connect.
     pub health_check_timeout: Duration,
-    /// The most idle connections to one endpoint.
+    /// Limit of idle connections to one endpoint.
     pub max_idle_connections: usize,
 }
 
 impl PoolSettings {
-    /// The settings of a deployment whose process may open these sockets.
+    /// Derives the pool settings from the deployment settings and the socket budget of the process.
     pub fn new(settings: &DeploymentSettings, sockets: &SocketBudget) -> PoolSettings {
         let connect_timeout = settings.connect_timeout();
         PoolSettings {
             connect_timeout,
             idle_timeout: idle_timeout(settings.limits.connection_idle_us),
-            // Where connections may take long to come up, a health check that opens one must not
-            // fail for that alone.
+            // A health check that opens a connection must not fail only because the connect timeout
+            // is long.
             health_check_timeout: MIN_HEALTH_CHECK_TIMEOUT
                 .max(connect_timeout + HEALTH_CHECK_RESPONSE_TIMEOUT),
-            max_idle_connections: (sockets.outbound / IDLE_DIVISOR).max(MIN_IDLE_CONNECTIONS),
+            max_idle_connections: (sockets.outbound / IDLE_LIMIT_DIVISOR).max(MIN_IDLE_LIMIT),
         }
     }
 }
 
-/// Well before the endpoint closes an idle connection: otherwise a request would be written to one
-/// that has just been dropped.
+/// The idle timeout for endpoints that close connections after `endpoint_idle_us`. It is two thirds
+/// of that, so that no request is written to a connection that the endpoint has just closed.
 fn idle_timeout(endpoint_idle_us: u64) -> Duration {
     match endpoint_idle_us * 2 / 3 {
         0 => DEFAULT_IDLE_TIMEOUT,
--- a/crates/net/src/upstream/progress_limit.rs
+++ b/crates/net/src/upstream/progress_limit.rs
@@ -1,64 +1,65 @@
-//! How many lines an endpoint may send before the last one, and which of them are passed on.
+//! Rate limit for the progress lines of a response, and throttling of the updates that they cause.
 //!
-//! Updates go into the queue of the event loop, which has no bound: an endpoint that sends lines
-//! without end would fill it and delay everyone else.
+//! Updates are sent to the event loop over an unbounded channel. Without a limit, an endpoint that
+//! keeps sending lines would fill the channel and delay all other requests.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines before the last one may take up this many bytes, and as many more as the rate allows. An
-/// endpoint that reports its progress ten times a second needs a hundredth of the rate.
+/// Bytes of progress lines that a response may contain regardless of its duration.
 const MAX_BURST_BYTES: u64 = 64 << 10;
+/// Further bytes of progress lines for each second of the response. An endpoint that reports its
+/// progress ten times a second needs a hundredth of this rate.
 const MAX_BYTES_PER_SECOND: u64 = 64 << 10;
-/// Fractions are passed on no more often than this: the decisions use no finer ones.
+/// Shortest interval between two reported fractions. The decision logic needs no finer resolution.
 const MIN_FRACTION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An endpoint sent more lines before its last one than an attempt may have.
+/// An endpoint exceeded the rate limit for progress lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("too many lines before the last one")]
+#[error("too many lines before the final line")]
 pub(super) struct TooManyLines;
 
-/// The limit for one attempt.
+/// Rate limit and throttling for the progress lines of one attempt.
 pub(super) struct ProgressLimit {
-    began_at: Instant,
-    bytes: u64,
+    started_at: Instant,
+    received_bytes: u64,
     start_reported: bool,
     last_fraction_at: Option<Instant>,
 }
 
 impl ProgressLimit {
-    /// The limit for an attempt whose response begins now.
+    /// Creates the limit for a response that begins at `now`.
     pub(super) fn new(now: Instant) -> ProgressLimit {
         ProgressLimit {
-            began_at: now,
-            bytes: 0,
+            started_at: now,
+            received_bytes: 0,
             start_reported: false,
             last_fraction_at: None,
         }
     }
 
-    /// Counts a line that is not the last, of this many bytes.
+    /// Counts a line before the final one.
     ///
     /// # Errors
     ///
-    /// Too many bytes came in this time.
+    /// Returns [`TooManyLines`] if the received bytes exceed the limit for the elapsed time.
     pub(super) fn count_line(&mut self, now: Instant, bytes: usize) -> Result<(), TooManyLines> {
-        self.bytes += bytes as u64;
-        let elapsed_ms = (now - self.began_at).as_millis() as u64;
-        let earned = elapsed_ms.saturating_mul(MAX_BYTES_PER_SECOND) / 1_000;
-        if self.bytes > MAX_BURST_BYTES.saturating_add(earned) {
+        self.received_bytes += bytes as u64;
+        let elapsed_ms = (now - self.started_at).as_millis() as u64;
+        let rate_allowance = elapsed_ms.saturating_mul(MAX_BYTES_PER_SECOND) / 1_000;
+        if self.received_bytes > MAX_BURST_BYTES.saturating_add(rate_allowance) {
             return Err(TooManyLines);
         }
         Ok(())
     }
 
-    /// Whether the start of the job is to be passed on: the first time only.
-    pub(super) fn passes_start(&mut self) -> bool {
+    /// Returns whether to report that the job has started; `true` on the first call only.
+    pub(super) fn should_report_start(&mut self) -> bool {
         !std::mem::replace(&mut self.start_reported, true)
     }
 
-    /// Whether a fraction that came now is to be passed on.
-    pub(super) fn passes_fraction(&mut self, now: Instant) -> bool {
+    /// Returns whether to report a fraction that was received at `now`.
+    pub(super) fn should_report_fraction(&mut self, now: Instant) -> bool {
         let due = self
             .last_fraction_at
             .is_none_or(|last| now - last >= MIN_FRACTION_INTERVAL);
--- a/crates/net/src/upstream/request_body.rs
+++ b/crates/net/src/upstream/request_body.rs
@@ -1,8 +1,8 @@
-//! The body of a request to an endpoint, which notices when the request is about to be written.
+//! The body of a request to an endpoint, which detects when the request is about to be written.
 //!
-//! hyper polls the body, or drops it at once if it is empty, when it has put the head into its
-//! buffer and has yet to write any of it. At that moment the attempt gets its request number on
-//! the connection, or is stopped if it has ended or is too late.
+//! hyper polls the body, or drops it if it is empty, after it has buffered the head and before it
+//! writes any of it. At that point the request gets its number on the connection, or fails if its
+//! attempt has ended or its write deadline has passed.
 
 use super::attempt::AttemptConnection;
 use bytes::Bytes;
@@ -12,17 +12,17 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// A request body in one piece.
+/// A request body that consists of a single data frame, or is empty.
 #[derive(Default)]
 pub(super) struct RequestBody {
     content: Option<Bytes>,
-    /// The attempt's connection, until the request begins.
+    /// The attempt's connection; `None` once the request has begun.
     connection: Option<AttemptConnection>,
     write_by: Option<Instant>,
 }
 
 impl RequestBody {
-    /// The body of a request that is written by this time or not at all.
+    /// Creates the body of a request that fails if writing it has not begun by `write_by`.
     pub(super) fn new(
         content: Bytes,
         connection: AttemptConnection,
@@ -35,10 +35,11 @@
         }
     }
 
-    /// Begins the request, once.
+    /// Begins the request on the first call.
     ///
-    /// The connection may have come up only after the attempt ended, and the process may have
-    /// stalled in between: the endpoint may be draining by now, or the deduplication window over.
+    /// The checks are needed because the connection may be established only after the attempt has
+    /// ended, and because the process may have stalled since the attempt began: by now the endpoint
+    /// may be draining, or the deduplication window may have ended.
     fn begin(&mut self) -> io::Result<()> {
         let Some(connection) = self.connection.take() else {
             return Ok(());
@@ -48,7 +49,7 @@
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         if self.write_by.is_some_and(|limit| Instant::now() > limit) {
-            connection.set_late();
+            connection.set_missed_write_deadline();
             connection.close();
             return Err(io::ErrorKind::TimedOut.into());
         }
@@ -82,7 +83,7 @@
 
 impl Drop for RequestBody {
     fn drop(&mut self) {
-        // The connection is closed if it fails; there is nobody left to return the error to.
+        // The error cannot be returned from here. The connection is closed in that case.
         let _ = self.begin();
     }
 }
--- a/crates/net/src/upstream/response.rs
+++ b/crates/net/src/upstream/response.rs
@@ -1,8 +1,8 @@
-//! The response to an attempt, and how it ends the attempt.
+//! Reads the response to an attempt and derives the outcome of the attempt.
 //!
-//! With status 200 it is a JSON object on each line, and the first line with a final state ends the
-//! attempt. With any other status the head ends it. The rest is read only so that the connection
-//! can be reused, within a time and a size.
+//! A response with status 200 has one JSON object on each line, and the first line with a final
+//! state (the final line) ends the attempt. Any other status ends it with the head of the response.
+//! The rest is read only to make the connection reusable, up to a limit of time and size.
 
 use super::attempt::AttemptConnection;
 use super::client::AttemptObserver;
@@ -19,18 +19,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// The longest line, in bytes: a result of 64 KiB, of which JSON may write each byte as six, and
-/// what goes with it.
+/// Size limit of a line: a result of 64 KiB, each byte of which JSON may escape as six bytes, and
+/// 16 KiB for the other fields.
 const MAX_LINE_BYTES: usize = (6 * 64 + 16) << 10;
-/// A piece of a line counts as this many bytes at least: a line in pieces of one byte each takes as
-/// much work as one that is many times as long.
-const MIN_PIECE_BYTES: usize = 16;
-/// The rest of a response may take this long and this many bytes; otherwise its connection is
+/// Minimum that a fragment of a line counts towards the limits: a line that arrives byte by byte
+/// takes as much work as a line that is many times as long.
+const MIN_FRAGMENT_BYTES: usize = 16;
+/// Time to read the rest of a response after the attempt has ended; afterwards the connection is
 /// closed.
-const REST_TIMEOUT: Duration = Duration::from_millis(500);
-const MAX_REST_BYTES: usize = 64 << 10;
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Size limit of the rest of a response; beyond it the connection is closed.
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
 
-/// How an attempt ended.
+/// The outcome of an attempt, and the load report that came with it.
 #[derive(Debug)]
 pub(super) struct AttemptEnd {
     pub(super) outcome: AttemptOutcome,
@@ -40,26 +41,27 @@
 /// Why a response cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    /// The connection failed, or the body is malformed.
-    #[error("the body cannot be read")]
+    /// The connection failed, or the encoding of the body is malformed.
+    #[error("failed to read the response body")]
     Body(#[source] hyper::Error),
     /// The body ended before a line with a final state.
-    #[error("the body ended without a last line")]
-    NoLastLine,
-    /// A line is longer than any result.
-    #[error("a line is too long")]
+    #[error("response body ended without a final line")]
+    NoFinalLine,
+    /// The fragments of a line count for more than [`MAX_LINE_BYTES`].
+    #[error("response line exceeds the size limit")]
     LineTooLong,
-    /// Lines without end before the last one.
+    /// The lines before the final one exceed the limit.
     #[error(transparent)]
     TooManyLines(#[from] TooManyLines),
-    /// A line is not what it should be.
-    #[error("a line is malformed")]
+    /// A line is not a JSON object with the expected fields.
+    #[error("malformed response line")]
     MalformedLine(#[source] serde_json::Error),
-    /// A line belongs to another request.
-    #[error("a line is for request {0}")]
+    /// A line has the id of another request.
+    #[error("response line has the id of another request, {0:?}")]
     WrongRequest(String),
 }
 
+/// One line of a response.
 #[derive(Deserialize)]
 struct ResponseLine {
     #[serde(rename = "id")]
@@ -99,11 +101,11 @@
     }
 }
 
-/// Reads a response with status 200 up to its last line. Returns how that ends the attempt.
+/// Reads a response with status 200 up to its final line, and returns the end of the attempt.
 ///
 /// # Errors
 ///
-/// The response cannot be used; the job may have run.
+/// Returns an error if the response cannot be used. In that case the job may have run.
 pub(super) async fn read(
     body: &mut Incoming,
     request_id: &str,
@@ -118,8 +120,8 @@
     };
     loop {
         let data = next_data(body).await?;
-        for piece in data.split_inclusive(|&byte| byte == b'\n') {
-            if let Some(end) = reader.push(piece)? {
+        for fragment in data.split_inclusive(|&byte| byte == b'\n') {
+            if let Some(end) = reader.push(fragment)? {
                 return Ok(end);
             }
         }
@@ -130,30 +132,31 @@
     match body.frame().await {
         Some(Ok(frame)) => Ok(frame.into_data().unwrap_or_default()),
         Some(Err(error)) => Err(ResponseError::Body(error)),
-        None => Err(ResponseError::NoLastLine),
+        None => Err(ResponseError::NoFinalLine),
     }
 }
 
-/// Puts lines together, and passes updates on to the observer.
+/// Assembles the lines of a response and notifies the observer of updates.
 struct ResponseReader<'a, T> {
     request_id: &'a str,
     observer: &'a mut T,
     limit: ProgressLimit,
-    /// The line so far, and what its pieces count as.
+    /// The received part of the current line.
     line: Vec<u8>,
+    /// What the fragments of the current line count towards the limits.
     line_bytes: usize,
 }
 
 impl<T: AttemptObserver> ResponseReader<'_, T> {
-    /// Takes in a piece of a line, with its end if it has come. Returns the end of the attempt with
-    /// the last line.
-    fn push(&mut self, piece: &[u8]) -> Result<Option<AttemptEnd>, ResponseError> {
-        self.line.extend_from_slice(piece);
-        self.line_bytes += piece.len().max(MIN_PIECE_BYTES);
+    /// Appends a fragment of a line, which may include its line feed. Returns the end of the
+    /// attempt if the fragment completes the final line.
+    fn push(&mut self, fragment: &[u8]) -> Result<Option<AttemptEnd>, ResponseError> {
+        self.line.extend_from_slice(fragment);
+        self.line_bytes += fragment.len().max(MIN_FRAGMENT_BYTES);
         if self.line_bytes > MAX_LINE_BYTES {
             return Err(ResponseError::LineTooLong);
         }
-        if !piece.ends_with(b"\n") {
+        if !fragment.ends_with(b"\n") {
             return Ok(None);
         }
         let line = std::mem::take(&mut self.line);
@@ -175,14 +178,14 @@
         let outcome = match line.state {
             JobState::Started => {
                 self.limit.count_line(now, bytes)?;
-                if self.limit.passes_start() {
+                if self.limit.should_report_start() {
                     self.observer.updated(AttemptUpdate::Started);
                 }
                 return Ok(None);
             }
             JobState::Running { fraction } => {
                 self.limit.count_line(now, bytes)?;
-                if self.limit.passes_fraction(now) {
+                if self.limit.should_report_fraction(now) {
                     self.observer.updated(AttemptUpdate::Fraction(fraction));
                 }
                 return Ok(None);
@@ -197,7 +200,7 @@
     }
 }
 
-/// How a status other than 200 ends an attempt.
+/// The outcome of an attempt whose response has a status other than 200.
 pub(super) fn outcome_of_status(response: &Response<Incoming>) -> AttemptOutcome {
     let is_rejected = response
         .headers()
@@ -212,24 +215,25 @@
     }
 }
 
-/// Reads the rest of a response after the attempt has ended. A connection whose response was not
-/// read to its end cannot be reused; one whose response does not end in time is closed.
+/// Reads the rest of a response after the attempt has ended, because a connection can be reused
+/// only after its response was read to the end. Closes the connection if the rest exceeds the
+/// limits.
 pub(super) async fn discard_rest(mut body: Incoming, connection: &AttemptConnection) {
-    let rest = timeout(REST_TIMEOUT, reaches_end(&mut body)).await;
-    if !matches!(rest, Ok(true)) {
+    let reached_end = timeout(DISCARD_TIMEOUT, discard_to_end(&mut body)).await;
+    if !matches!(reached_end, Ok(true)) {
         connection.close();
     }
 }
 
-/// Whether a body ends without an error, within the bytes that it may have.
-async fn reaches_end(body: &mut Incoming) -> bool {
+/// Reads a body to its end. Returns `false` if it fails or exceeds [`MAX_DISCARDED_BYTES`].
+async fn discard_to_end(body: &mut Incoming) -> bool {
     let mut bytes = 0;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
             return false;
         };
         bytes += frame.data_ref().map_or(0, Bytes::len);
-        if bytes > MAX_REST_BYTES {
+        if bytes > MAX_DISCARDED_BYTES {
             return false;
         }
     }
--- a/crates/net/src/upstream/tests/aborts.rs
+++ b/crates/net/src/upstream/tests/aborts.rs
@@ -1,4 +1,5 @@
-//! Attempts that are aborted before they are written, and connections that come up for nobody.
+//! Attempts that are aborted before their request is written, and connections that are established
+//! after their attempt has ended.
 
 use super::support::*;
 use crate::upstream::PoolSettings;
@@ -10,10 +11,11 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::timeout;
 
-// The request has been handed to its connection, reused or just up, but not written yet. Whether or
-// not the task of the attempt ends with the abort.
+// When the attempt is aborted, its request is queued on a reused or a new connection but not
+// written yet. It must not be written later, whether or not the attempt's future is dropped with
+// the abort.
 #[test]
-fn attempt_aborted_before_it_was_written_never_is() {
+fn request_of_an_attempt_aborted_before_the_write_is_never_written() {
     for (is_reused, is_dropped) in [(false, true), (false, false), (true, true), (true, false)] {
         let (endpoint, mut control) = scripted_endpoint();
         let server = std::thread::spawn(move || {
@@ -42,15 +44,17 @@
             let mut attempt = Box::pin(attempt);
             assert!(!poll_once(&mut attempt.as_mut()).await);
             if !is_reused {
-                // The connection is up, and the runtime has not seen it.
+                // The connection is established, but the runtime has not polled it yet.
                 control.block_until("connected");
             }
             connection.abort();
             if is_dropped {
                 drop(attempt);
             } else {
-                // It ends by itself, and reports nothing.
-                timeout(TEST_TIMEOUT, attempt).await.expect("no end");
+                // The future completes without an outcome.
+                timeout(TEST_TIMEOUT, attempt)
+                    .await
+                    .expect("the attempt does not end");
             }
             settle().await;
             control.resume();
@@ -60,12 +64,12 @@
     }
 }
 
-// The attempt was aborted, or its time to connect was over: its connection does not come up any
-// more, and nothing is written.
+// After an attempt was aborted or its connect timeout has passed, its connection must not be
+// established any more.
 #[test]
-fn connection_that_comes_up_too_late_carries_nothing() {
+fn connecting_stops_with_an_abort_and_with_the_connect_timeout() {
     for connect_timeout in [TEST_TIMEOUT, Duration::from_millis(100)] {
-        let (listener, filler) = full_listener();
+        let (listener, filler) = listener_with_full_backlog();
         let address = listener.local_addr().unwrap().to_string();
         block_on(async {
             let client = client_with(
@@ -79,7 +83,7 @@
             settle().await;
             if connect_timeout == TEST_TIMEOUT {
                 assert!(!attempt.task.is_finished());
-                // As the event loop does it.
+                // The event loop aborts attempts in the same way.
                 attempt.connection.abort();
                 attempt.task.abort();
                 assert!(attempt.task.await.unwrap_err().is_cancelled());
@@ -87,7 +91,7 @@
             } else {
                 assert_eq!(attempt.end().await, (AttemptOutcome::ConnectFailed, None));
             }
-            // Room for the next try of the kernel.
+            // Frees the backlog for a retransmitted SYN.
             drop(listener.accept().unwrap());
             drop(filler);
             let listener = tokio::net::TcpListener::from_std({
@@ -96,24 +100,25 @@
             })
             .unwrap();
             let late = timeout(Duration::from_millis(1_300), listener.accept()).await;
-            assert!(late.is_err(), "it came up: {late:?}");
+            assert!(late.is_err(), "connection was established: {late:?}");
         });
     }
 }
 
-// The attempt that a connection was opened for has been served on another one by the time it is up.
-// It is kept, nothing is written on it meanwhile, and the next attempt in need of one gets it.
+// An attempt that waits for a new connection is sent on one that becomes idle first. The new
+// connection must be pooled when it is established, carry nothing meanwhile, and serve the next
+// attempt that needs a connection.
 #[test]
-fn unneeded_new_connection_is_kept_idle_and_silent() {
-    let (listener, filler) = full_listener();
+fn new_connection_that_its_attempt_no_longer_needs_is_pooled() {
+    let (listener, filler) = listener_with_full_backlog();
     let address = listener.local_addr().unwrap().to_string();
     let (step_sender, mut steps) = unbounded_channel();
     let (resume, resumed) = mpsc::channel::<()>();
     let server = std::thread::spawn(move || {
-        // Once the filler is gone, the first accepted is that of the first attempt.
+        // With the filler accepted, the next connection is that of the first attempt.
         drop((listener.accept().unwrap(), filler));
         let mut first = listener.accept().unwrap().0;
-        // Full again, for the second.
+        // Fills the backlog again, so that the connection of the second attempt has to wait.
         let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         read_request(&mut first);
         step_sender.send(()).unwrap();
--- a/crates/net/src/upstream/tests/health_checks.rs
+++ b/crates/net/src/upstream/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks on connections that break, fall silent or never end.
+//! Health checks on connections that fail, stall or never stop sending.
 
 use super::support::*;
 use crate::upstream::PoolSettings;
@@ -8,9 +8,9 @@
 use std::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-// An endpoint that dropped an idle connection must not be ejected for it.
+// An endpoint must not be ejected because it closed an idle connection.
 #[test]
-fn health_check_on_a_dropped_idle_connection_is_repeated_on_a_new_one() {
+fn health_check_on_a_closed_idle_connection_is_repeated_on_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let server = std::thread::spawn(move || {
@@ -38,25 +38,25 @@
     server.join().unwrap();
 }
 
-// A health check must not wait without end, fill the memory, or leave a connection to be reused
-// with its response still to come.
+// A health check must not wait forever, buffer an unbounded response, or return a connection to the
+// pool whose response is incomplete.
 #[test]
-fn endless_health_check_ends_in_time_and_closes_its_connection() {
-    let silent = [
+fn health_check_with_an_endless_response_ends_in_time_and_closes_its_connection() {
+    let stalling = [
         String::new(),
         CHUNKED_HEAD.into(),
         format!("{CHUNKED_HEAD}{}", chunk("{\"x0\":2}")),
     ];
-    let endless = [
+    let flooding = [
         format!("{CHUNKED_HEAD}{}", chunk("x0=2,")),
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\nx".into(),
     ];
-    for (text, floods) in silent
+    for (text, floods) in stalling
         .iter()
         .map(|text| (text, false))
-        .chain(endless.iter().map(|text| (text, true)))
+        .chain(flooding.iter().map(|text| (text, true)))
     {
-        for given_up in [false, true] {
+        for is_dropped in [false, true] {
             let (endpoint, mut control) = scripted_endpoint();
             let first = text.clone();
             let server = std::thread::spawn(move || {
@@ -79,8 +79,9 @@
                 bytes
             });
             block_on(async {
-                // One that floods is ended by its size, and one that is given up by the drop.
-                let limit = if floods || given_up {
+                // The size limit ends a flood and the drop ends a dropped check, so only the others
+                // need a short timeout.
+                let limit = if floods || is_dropped {
                     TEST_TIMEOUT
                 } else {
                     MIN_HEALTH_CHECK_TIMEOUT
@@ -91,7 +92,7 @@
                 };
                 let client = client_with(&control.address, pool);
                 let mut check = Box::pin(client.check_health());
-                if given_up {
+                if is_dropped {
                     while control.steps.try_recv().is_err() {
                         assert!(!poll_once(&mut check.as_mut()).await);
                         settle().await;
@@ -106,7 +107,9 @@
                         Outcome::Timeout
                     };
                     assert_eq!(
-                        timeout(TEST_TIMEOUT, check).await.expect("no end"),
+                        timeout(TEST_TIMEOUT, check)
+                            .await
+                            .expect("the health check does not end"),
                         (outcome, None),
                         "{text}"
                     );
--- a/crates/net/src/upstream/tests/load_reports.rs
+++ b/crates/net/src/upstream/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports, in each form and with each end of an attempt.
+//! Load reports in each form, and with each outcome of an attempt.
 
 use super::support::*;
 use crate::upstream::{PoolSettings, load_report};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 #[test]
-fn load_report_is_parsed_in_either_form_and_nonsense_is_none() {
+fn load_report_is_parsed_in_either_form_and_malformed_text_is_ignored() {
     let free_slots =
         |text: &str| load_report::parse(text.as_bytes()).map(|report| report.free_slots);
     assert_eq!(free_slots("x0=3.5,eps=0"), Some(Some(3.5)));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn load_report_is_read_however_the_attempt_ends() {
+fn load_report_is_read_with_every_outcome_of_a_response() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let line = |state: &str| {
--- a/crates/net/src/upstream/tests/mod.rs
+++ b/crates/net/src/upstream/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the upstream clients against endpoints on loopback.
+//! Tests of the upstream client against endpoints on loopback.
 
 mod aborts;
 mod health_checks;
--- a/crates/net/src/upstream/tests/responses.rs
+++ b/crates/net/src/upstream/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Responses within the limits: large results, progress, interim responses.
+//! Responses within the limits: large results, progress lines and interim responses.
 
 use super::support::*;
 use crate::upstream::progress_limit::ProgressLimit;
@@ -7,8 +7,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-// The limits leave room for the largest result in the longest form that JSON has for it, after many
-// progress lines.
+// The limits must allow for the largest result with every byte escaped, after many progress lines.
 #[test]
 fn largest_result_is_read_after_many_progress_lines() {
     let (endpoint, control) = scripted_endpoint();
@@ -39,24 +38,25 @@
 }
 
 #[test]
-fn fractions_pass_at_once_and_then_at_intervals() {
+fn fractions_are_throttled_and_progress_lines_are_rate_limited() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut limit = ProgressLimit::new(start);
-    assert!(limit.passes_start() && !limit.passes_start());
-    let passed: Vec<u64> = (0..200)
-        .filter(|&ms| limit.passes_fraction(at(ms)))
+    assert!(limit.should_report_start() && !limit.should_report_start());
+    let reported_ms: Vec<u64> = (0..200)
+        .filter(|&ms| limit.should_report_fraction(at(ms)))
         .collect();
-    assert_eq!(passed, [0, 50, 100, 150]);
-    // Ten lines a second for an hour, and a thousand at once, but not for long.
+    assert_eq!(reported_ms, [0, 50, 100, 150]);
+    // Allowed: ten lines a second for an hour, or a burst of 600 lines, but not two such bursts.
     assert!((0..36_000).all(|n| limit.count_line(at(100 * n), 100).is_ok()));
     let mut limit = ProgressLimit::new(start);
     assert!((0..600).all(|_| limit.count_line(start, 100).is_ok()));
     assert!(!(0..600).all(|_| limit.count_line(start, 100).is_ok()));
 }
 
-// The bound on interim responses counts neither those of earlier requests nor what comes after the
-// head: one connection serves the largest results, each after many interim responses.
+// The limit on interim responses must count neither those of earlier requests nor the bytes after
+// the head. One connection carries the largest result several times, each time after many interim
+// responses.
 #[test]
 fn interim_responses_count_for_their_own_request_only() {
     const REQUESTS: usize = 3;
@@ -96,7 +96,10 @@
                 .await
                 .expect("the start is not reported");
             control.resume();
-            timeout(TEST_TIMEOUT, task).await.expect("no end").unwrap();
+            timeout(TEST_TIMEOUT, task)
+                .await
+                .expect("the attempt does not end")
+                .unwrap();
             let outcomes: Vec<_> = observer
                 .outcomes()
                 .iter()
--- a/crates/net/src/upstream/tests/reuse.rs
+++ b/crates/net/src/upstream/tests/reuse.rs
@@ -1,4 +1,5 @@
-//! Reuse of a connection after a response, and what is proven when a reused one fails.
+//! Reuse of connections after a response, and outcomes of attempts on a reused connection that
+//! fails.
 
 use super::support::*;
 use bytes::Bytes;
@@ -7,8 +8,8 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-// An abort that crosses the end of its attempt must not close the connection under the next one,
-// whose job would count as one that may have run.
+// An abort may race with the end of its attempt. It must not close the connection when that already
+// carries the next attempt: the job of that one would count as one that may have run.
 #[test]
 fn abort_after_the_end_leaves_the_connection_to_the_next_attempt() {
     let line = |state: &str| {
@@ -55,7 +56,7 @@
     }
 }
 
-// A response may turn out to be unusable only after its connection has been read to the end, and
+// A response may be found unusable only after it was read to its end and its connection already
 // carries the next attempt.
 #[test]
 fn unusable_response_does_not_close_the_connection_of_the_next_attempt() {
@@ -86,8 +87,9 @@
                 .attempt(&job("a", 9), options(TEST_TIMEOUT), EndSender(sender))
                 .unwrap();
             let mut attempt = std::pin::pin!(attempt);
-            // It has seen the head, and is not polled again until the next attempt is in flight.
-            while !connection.has_had_response() {
+            // The attempt has received the head and is not polled again until the next attempt is
+            // in flight.
+            while !connection.has_received_response() {
                 assert!(!poll_once(&mut attempt).await);
                 settle().await;
             }
@@ -114,13 +116,13 @@
     }
 }
 
-// A job whose connection was dead before its first byte has not run, and a late response to one
-// attempt must not be taken as that to the next. The runtime has not seen the event of the socket
-// when the request is written.
+// A job has not run if its connection failed before the first byte of the request, and a late
+// response to one attempt must not be taken for the response to the next. The runtime has not
+// polled the socket's readiness when the request is written.
 #[test]
 fn idle_connection_that_closed_or_sent_data_gets_no_byte_of_the_next_request() {
     let late_rejection = response("503 Busy\r\nX-Turned-Away: 1", "");
-    // Closed; reset; or sent without a request.
+    // `None` closes the connection, an empty text resets it, any other text is sent unrequested.
     let endings = [
         None,
         Some(String::new()),
@@ -177,7 +179,7 @@
             let (_, attempt) = client
                 .attempt(&job("b", size), options(TEST_TIMEOUT), EndSender(sender))
                 .unwrap();
-            // From here on the runtime looks at no socket before the request is written.
+            // From here until the request is written, the runtime polls no socket.
             control.block_until("ended or sent");
             attempt.await;
             assert_eq!(
@@ -205,7 +207,7 @@
                 read_request(&mut stream);
                 stream.write_all(completed("a").as_bytes()).unwrap();
             }
-            // Of 64 MiB the rest is on its way: it closes with bytes unread.
+            // Reads one byte of 64 MiB and closes the connection while the rest is being sent.
             assert_eq!(stream.read(&mut [0]).unwrap(), 1);
         });
         block_on(async {
--- a/crates/net/src/upstream/tests/settings.rs
+++ b/crates/net/src/upstream/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Pool settings that follow from those of the deployment.
+//! Pool settings that are derived from the deployment settings.
 
 use crate::config::SocketBudget;
 use crate::upstream::PoolSettings;
@@ -10,8 +10,8 @@
     outbound: 640,
 };
 
-// An attempt must not wait for its connection past the grace of a drain, and a request must not be
-// written to a connection that the endpoint may have dropped as idle.
+// An attempt must not wait for a connection beyond the drain grace period, and no request may be
+// written to a connection that the endpoint may have closed as idle.
 #[test]
 fn connect_timeout_stays_within_the_drain_grace_and_idle_connections_close_early() {
     let text = |grace: u64| {
@@ -31,7 +31,8 @@
     );
 }
 
-// Where connections may take a second, each health check that opened one would fail.
+// Otherwise a health check that opens a connection fails if connecting is slow but within its
+// timeout.
 #[test]
 fn health_check_timeout_exceeds_connect_timeout() {
     let text = r#"{"lanes":[],"limits":{"most-tries":1,"connect-timeout-us":1000000},"rules":{}}"#;
--- a/crates/net/src/upstream/tests/support.rs
+++ b/crates/net/src/upstream/tests/support.rs
@@ -1,4 +1,4 @@
-//! An endpoint that a test plays step by step, and what the tests of this folder share.
+//! Support for the tests of the upstream client: scripted endpoints, observers and responses.
 
 use crate::upstream::{
     AttemptConnection, AttemptObserver, AttemptOptions, PoolSettings, UpstreamClient,
@@ -16,13 +16,13 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::timeout;
 
-/// Only keeps tests from hanging, on a machine that may be busy.
+/// Keeps a failing test from hanging; long enough for a busy machine.
 pub(super) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bytes that the sockets on both sides may buffer.
+/// Upper bound of the bytes that the socket buffers of both ends may hold.
 pub(super) const MAX_BUFFERED_BYTES: usize = 32 << 20;
 
-/// A pool without short timeouts.
+/// Pool settings without short timeouts.
 pub(super) const POOL: PoolSettings = PoolSettings {
     connect_timeout: TEST_TIMEOUT,
     idle_timeout: TEST_TIMEOUT,
@@ -43,7 +43,7 @@
     client_with(address, POOL)
 }
 
-/// A client that shares its sockets with no other.
+/// A client with a socket limit of its own, which it never reaches.
 pub(super) fn client_with(address: &str, pool: PoolSettings) -> UpstreamClient {
     UpstreamClient::new(
         address,
@@ -77,14 +77,14 @@
     runtime.block_on(test);
 }
 
-/// Lets every task run that has something to do. What was sent on loopback has arrived by then.
+/// Yields until all ready tasks have run and data that was sent over loopback has arrived.
 pub(super) async fn settle() {
     for _ in 0..32 {
         tokio::task::yield_now().await;
     }
 }
 
-/// Polls once, as the runtime would, and lets no other task run. Returns whether it is ready.
+/// Polls a future once without running any other task. Returns whether it is ready.
 pub(super) async fn poll_once<F: Future>(future: &mut Pin<&mut F>) -> bool {
     let mut is_ready = false;
     std::future::poll_fn(|cx| {
@@ -95,10 +95,10 @@
     is_ready
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt, and the load report that came with it.
 pub(super) type End = (AttemptOutcome, Option<LoadReport>);
 
-/// The end of an attempt whose response was [`completed`].
+/// The end of an attempt whose response was [`completed`] with this id.
 pub(super) fn served(id: &'static str) -> End {
     (AttemptOutcome::Served(Bytes::from(id)), None)
 }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Records what is reported of an attempt.
+/// Records the updates and outcomes of an attempt.
 #[derive(Clone, Default)]
 pub(super) struct RecordingObserver {
     updates: Arc<Mutex<Vec<AttemptUpdate>>>,
@@ -141,7 +141,7 @@
     }
 }
 
-/// An attempt in a task of its own.
+/// An attempt that runs in a task of its own.
 pub(super) struct RunningAttempt {
     pub(super) connection: AttemptConnection,
     pub(super) ends: mpsc::Receiver<End>,
@@ -164,15 +164,15 @@
     pub(super) async fn end(self) -> End {
         timeout(TEST_TIMEOUT, self.task)
             .await
-            .expect("no end")
+            .expect("the attempt does not end")
             .unwrap();
         let end = self.ends.try_recv().unwrap();
-        assert!(self.ends.try_recv().is_err(), "two ends");
+        assert!(self.ends.try_recv().is_err(), "more than one outcome");
         end
     }
 }
 
-/// An endpoint that a thread of the test plays. At each step it waits until the test lets it go on.
+/// An endpoint that runs on a thread of the test. It pauses at each step until the test resumes it.
 pub(super) struct ScriptedEndpoint {
     listener: TcpListener,
     steps: UnboundedSender<&'static str>,
@@ -212,7 +212,7 @@
         stream
     }
 
-    /// Reports that a step is reached, and waits for the test.
+    /// Notifies the test that a step was reached, and waits until the test resumes the endpoint.
     pub(super) fn pause_at(&self, step: &'static str) {
         self.steps.send(step).unwrap();
         self.resumed.recv_timeout(TEST_TIMEOUT).unwrap();
@@ -220,7 +220,7 @@
 }
 
 impl EndpointControl {
-    /// Waits until the endpoint has reached this step.
+    /// Waits until the endpoint pauses at this step.
     pub(super) async fn wait_for(&mut self, step: &str) {
         assert_eq!(
             timeout(TEST_TIMEOUT, self.steps.recv())
@@ -230,7 +230,8 @@
         );
     }
 
-    /// The same, but the runtime sees no event of a socket meanwhile.
+    /// Like [`wait_for`](Self::wait_for), but blocks the thread, so that the runtime polls no
+    /// socket meanwhile.
     pub(super) fn block_until(&mut self, step: &str) {
         let limit = std::time::Instant::now() + TEST_TIMEOUT;
         let reached = loop {
@@ -243,15 +244,15 @@
         assert_eq!(reached, step);
     }
 
-    /// Lets the endpoint go on.
+    /// Resumes the endpoint after a step.
     pub(super) fn resume(&self) {
         self.resume.send(()).unwrap();
     }
 }
 
-/// A listener whose connections do not come up, and the one connection that fills its queue. The
-/// kernel tries again a second later.
-pub(super) fn full_listener() -> (TcpListener, TcpStream) {
+/// A listener that cannot establish further connections, and the connection that fills its backlog.
+/// The kernel of a connecting client retransmits its SYN after one second.
+pub(super) fn listener_with_full_backlog() -> (TcpListener, TcpStream) {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -263,7 +264,7 @@
     (listener, filler)
 }
 
-/// Reads a request up to the end of its body. Returns its head.
+/// Reads a request including its body. Returns the head.
 pub(super) fn read_request(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -271,7 +272,7 @@
         assert_eq!(
             stream.read(&mut byte).unwrap(),
             1,
-            "closed; so far {:?}",
+            "connection closed after {:?}",
             String::from_utf8_lossy(&head)
         );
         head.push(byte[0]);
@@ -285,18 +286,18 @@
     head
 }
 
-/// Reads up to the end of the connection.
+/// Reads until the connection is closed or reset.
 pub(super) fn read_rest(mut stream: TcpStream) -> String {
     let mut rest = Vec::new();
-    // A reset is an end as well.
+    // A reset ends the connection as well.
     if let Err(error) = stream.read_to_end(&mut rest) {
         assert_eq!(error.kind(), ErrorKind::ConnectionReset);
     }
     String::from_utf8_lossy(&rest).into_owned()
 }
 
-/// Writes one text, and then the other again and again until the connection is closed. Returns how
-/// many bytes went out.
+/// Writes `first`, and then `repeated` over and over until the connection is closed. Returns the
+/// number of bytes passed to the socket.
 pub(super) fn flood(stream: &mut TcpStream, first: &str, repeated: &str) -> usize {
     let repeated = repeated.repeat(1 + (16 << 10) / repeated.len());
     let mut bytes = first.len();
@@ -308,7 +309,7 @@
     bytes
 }
 
-/// A whole response, after which its connection can be reused at once.
+/// A complete response, after which the connection can be reused at once.
 pub(super) fn response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -316,7 +317,7 @@
     )
 }
 
-/// A whole response that says that the job is done; its result is the id.
+/// A complete response for a completed job. The result is the id.
 pub(super) fn completed(id: &str) -> String {
     response(
         "200 OK",
@@ -324,6 +325,7 @@
     )
 }
 
+/// A chunk of a body with chunked transfer encoding.
 pub(super) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/net/src/upstream/tests/unfinished_responses.rs
+++ b/crates/net/src/upstream/tests/unfinished_responses.rs
@@ -1,4 +1,4 @@
-//! Responses without end: before the head, in the lines, and after the last line.
+//! Responses that never end: before the head, before the final line, and after it.
 
 use super::support::*;
 use pumiceway_core::{AttemptOutcome, AttemptUpdate};
@@ -6,10 +6,10 @@
 use std::io::{Read, Write};
 use tokio::time::{Instant, timeout};
 
-// Updates go into a queue without bound: an endpoint that sends them without end would fill it, and
-// delay everyone else.
+// Updates are sent over an unbounded channel: an endpoint that keeps sending them would fill it and
+// delay all other requests.
 #[test]
-fn endless_response_ends_as_reset_and_sends_few_updates() {
+fn endless_response_ends_as_reset_with_a_limited_number_of_updates() {
     let line = |rest: &str| chunk(&format!("{{\"id\":\"a\",{rest}}}\n"));
     let started = line("\"state\":\"started\"");
     let floods = [
@@ -68,31 +68,31 @@
     }
 }
 
-// What comes after the last line, or after a status other than 200, must neither delay the outcome
-// nor be read for ever nor be left to the next request on the connection.
+// Data after the final line, or after a status other than 200, must not delay the outcome, be read
+// without limit, or be taken for the response to the next request on the connection.
 #[test]
 fn endless_rest_of_a_response_closes_the_connection_and_delays_no_outcome() {
-    let last = chunk("{\"id\":\"a\",\"state\":\"done\",\"result\":\"a\"}\n");
-    let endless = "Transfer-Encoding: chunked\r\n\r\n";
+    let final_line = chunk("{\"id\":\"a\",\"state\":\"done\",\"result\":\"a\"}\n");
+    let chunked = "Transfer-Encoding: chunked\r\n\r\n";
     let cases = [
         (
-            format!("{CHUNKED_HEAD}{last}"),
+            format!("{CHUNKED_HEAD}{final_line}"),
             chunk("{\"id\":\"a\",\"state\":\"failed\"}\n"),
             served("a").0,
         ),
-        (format!("{CHUNKED_HEAD}{last}"), chunk("x"), served("a").0),
+        (format!("{CHUNKED_HEAD}{final_line}"), chunk("x"), served("a").0),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{\"id\":\"a\",\"state\":\"done\",\"result\":\"a\"}\n".into(),
             "x".into(),
             served("a").0,
         ),
         (
-            format!("HTTP/1.1 500 Broken\r\n{endless}"),
+            format!("HTTP/1.1 500 Broken\r\n{chunked}"),
             chunk("x"),
             AttemptOutcome::Error,
         ),
         (
-            format!("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\n{endless}"),
+            format!("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\n{chunked}"),
             chunk("xyz"),
             AttemptOutcome::Rejected,
         ),
@@ -102,22 +102,22 @@
             AttemptOutcome::InvalidJob,
         ),
         (
-            format!("HTTP/1.1 302 There\r\n{endless}"),
+            format!("HTTP/1.1 302 There\r\n{chunked}"),
             chunk("x"),
             AttemptOutcome::Error,
         ),
     ];
     let floods = cases.iter().map(|case| (case, false));
-    let silent = [(&cases[0], true), (&cases[4], true)];
-    for ((first, repeated, outcome), is_silent) in floods.chain(silent) {
+    let stalls = [(&cases[0], true), (&cases[4], true)];
+    for ((first, repeated, outcome), is_stalled) in floods.chain(stalls) {
         let (endpoint, mut control) = scripted_endpoint();
         let (first_text, repeated) = (first.clone(), repeated.clone());
         let server = std::thread::spawn(move || {
             let mut stream = endpoint.accept();
             read_request(&mut stream);
             stream.write_all(first_text.as_bytes()).unwrap();
-            endpoint.pause_at("sent what ends the attempt");
-            let bytes = if is_silent {
+            endpoint.pause_at("sent the end of the attempt");
+            let bytes = if is_stalled {
                 stream.read(&mut [0]).unwrap()
             } else {
                 flood(&mut stream, "", &repeated)
@@ -134,8 +134,8 @@
                 .attempt(&job("a", 9), options(TEST_TIMEOUT), observer.clone())
                 .unwrap();
             let task = tokio::spawn(attempt);
-            control.wait_for("sent what ends the attempt").await;
-            // The outcome is reported before anything of the rest has come.
+            control.wait_for("sent the end of the attempt").await;
+            // The outcome is reported before any of the rest is received.
             let start = Instant::now();
             while observer.outcomes().is_empty() && start.elapsed() < TEST_TIMEOUT {
                 settle().await;
@@ -146,7 +146,10 @@
                 "{first}"
             );
             control.resume();
-            timeout(TEST_TIMEOUT, task).await.expect("no end").unwrap();
+            timeout(TEST_TIMEOUT, task)
+                .await
+                .expect("the attempt does not end")
+                .unwrap();
             assert_eq!(
                 observer.outcomes(),
                 std::slice::from_ref(outcome),
@@ -163,11 +166,11 @@
     }
 }
 
-// hyper skips interim responses one by one: without a bound an endpoint that sends them without end
-// keeps the thread busy for as long as the attempt or the health check lasts. On a new connection
-// and on a reused one.
+// hyper skips interim responses one by one. Without a limit, an endpoint that keeps sending them,
+// on a new or a reused connection, keeps the thread busy until the attempt or the health check
+// ends.
 #[test]
-fn endless_interim_responses_are_read_up_to_a_bound() {
+fn endless_interim_responses_are_read_up_to_a_limit() {
     for text in INTERIM_RESPONSES {
         for is_reused in [false, true] {
             let (endpoint, control) = scripted_endpoint();
@@ -205,7 +208,7 @@
                 );
                 let check = timeout(TEST_TIMEOUT, client.check_health())
                     .await
-                    .expect("no end");
+                    .expect("the health check does not end");
                 assert_eq!(check, (Outcome::Reset, None), "{text}");
                 settle().await;
             });
--- a/crates/net/src/upstream/tests/write_deadlines.rs
+++ b/crates/net/src/upstream/tests/write_deadlines.rs
@@ -1,4 +1,4 @@
-//! Requests whose time to be written is over, as the process stalled.
+//! Requests whose write deadline passes while the process is stalled.
 
 use super::support::*;
 use crate::upstream::PoolSettings;
@@ -8,15 +8,15 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-// The endpoint may be draining by now, or the deduplication window over. On a connection that comes
-// up then and on a reused one; that proves nothing about the endpoint.
+// After the write deadline the endpoint may be draining, or the deduplication window may have
+// ended. The outcome must not count against the endpoint, whether the connection is new or reused.
 #[test]
 fn request_is_not_written_after_its_write_deadline() {
     let run_case = |(is_reused, body_bytes)| {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        // Long enough for the first request, and for a connection to come up once the runtime looks
-        // again.
+        // Long enough for the first request, and for a connection to be established once the
+        // runtime polls its sockets again.
         let connect_timeout = Duration::from_secs(1);
         let client = client_with(
             &address,
@@ -45,7 +45,7 @@
                 settle().await;
             }
             let late = RunningAttempt::start(&client, &job("t1", body_bytes));
-            // The process stalls.
+            // Simulates a stalled process.
             std::thread::sleep(connect_timeout + WRITE_MARGIN + Duration::from_millis(20));
             assert_eq!(
                 late.end().await,
