--- a/crates/net/src/frontend/admission/close.rs
+++ b/crates/net/src/frontend/admission/close.rs
@@ -1,29 +1,30 @@
-//! Closing a connection once its HTTP parser has let go of it.
+//! Closes a connection after its protocol parser has released it.
 //!
 //! Closing a socket with unread bytes resets the connection, and a reset may discard a response
-//! that the client has not read. So the sending side is shut down first, and what the client still
-//! sends is read and discarded until it closes too, within the linger timeout.
+//! that the client has not read yet. Therefore the sending side is shut down first, and what the
+//! client still sends is read and discarded until the client closes its side, or until the linger
+//! timeout.
 
 use super::connection::{ClientConnection, ConnectionPhase, Eviction};
-use super::discard::drain;
+use super::discard::discard_until_closed;
 use socket2::SockRef;
 use std::net::Shutdown;
 use tokio::net::TcpStream;
 use tokio::time::sleep_until;
 
-/// `Retry-After` of a response to a client that exceeds the connection limit, in seconds.
+/// Value of `Retry-After`, in seconds, in responses to clients over the connection limit.
 pub const RETRY_AFTER_SECONDS: &str = "1";
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// All its responses are written, or its client has disconnected.
+    /// All responses were written, or the client has disconnected.
     Completed,
-    /// The timeout of its phase has ended.
+    /// The timeout of the current phase has expired.
     TimedOut,
-    /// It was evicted for another connection.
+    /// The connection was evicted to admit another one.
     Evicted,
-    /// The process shuts down.
+    /// The process is shutting down.
     ShuttingDown,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// A response that is written past the HTTP parser, as the last one on its connection.
+/// A response that is written without the HTTP parser, as the last one on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// The request was not received in time.
@@ -69,8 +70,8 @@
     )
 }
 
-/// Closes a connection: sends the final response, shuts down the sending side, and discards what
-/// the client still sends until it has closed too, or until the linger timeout.
+/// Closes a connection: sends the final response, shuts down the sending side, and discards input
+/// until the client closes its side, the linger timeout expires, or the connection is evicted.
 pub async fn close(
     stream: &TcpStream,
     connection: &ClientConnection,
@@ -79,14 +80,15 @@
     connection.enter(ConnectionPhase::Closing);
     let socket = SockRef::from(stream);
     if let Some(response) = final_response {
-        // Not through tokio, which may not have seen the socket become writable yet. A client whose
-        // buffer has no space for so little reads nothing.
+        // Written directly, because tokio may not know yet that the socket is writable. A failed
+        // write is ignored: a client whose buffers are too full for so short a response is not
+        // reading.
         let _ = socket.send(response.encode().as_bytes());
     }
     let _ = socket.shutdown(Shutdown::Write);
     tokio::select! {
-        () = drain(stream, connection) => {}
+        () = discard_until_closed(stream, connection) => {}
         () = sleep_until(connection.phase_deadline()) => {}
-        () = connection.evicted(Eviction::Immediate) => {}
+        () = connection.wait_for_eviction(Eviction::Immediate) => {}
     }
 }
--- a/crates/net/src/frontend/admission/connection.rs
+++ b/crates/net/src/frontend/admission/connection.rs
@@ -1,6 +1,6 @@
-//! The state of one client connection: its phase, and the timeout of that phase.
+//! The state of a client connection: its phase, and the timeout of that phase.
 //!
-//! The tasks that serve a connection, evict it and close it share this state. Each phase has its
+//! The state is shared by the tasks that serve, evict and close the connection. Each phase has its
 //! own timeout, which starts when the connection enters the phase.
 
 use super::close::{EndReason, FinalResponse};
@@ -11,20 +11,22 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time to receive a whole request, from the opening of the connection or from the first byte of a
-/// later request.
+/// Time to receive a complete request, measured from the start of the connection for the first
+/// request, and from the first byte for later ones.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for the client to take a whole response.
+/// Time to write a complete response to the client.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time that a connection may stay open between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Time to wait for a response. Longer than any request may take: the core limits it.
+/// Time to wait for the response of the core. It exceeds the deadline of any request, which the
+/// core enforces.
 const AWAITING_RESPONSE_TIMEOUT: Duration = Duration::from_secs(48 * 60 * 60);
 /// Time for the client to read the last response and to close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes outside any request that are discarded before the connection is ended.
+/// Bytes outside of requests that are discarded before the connection is ended.
 const MAX_DISCARDED_BYTES: usize = 4 << 20;
-/// Age at which a connection without a whole request may be evicted.
+/// Time in its phase after which a connection may be evicted while it is closing or receiving a
+/// request.
 const MIN_AGE_WITHOUT_REQUEST: Duration = Duration::from_millis(50);
 /// Idle time after which a connection that has carried a request may be evicted.
 const MIN_IDLE_AFTER_REQUEST: Duration = Duration::from_secs(1);
@@ -38,11 +40,11 @@
     Idle,
     /// A later request is incomplete.
     ReadingRequest,
-    /// A request was submitted and has no response.
+    /// A request was submitted and its response is pending.
     AwaitingResponse,
     /// A response is being written.
     WritingResponse,
-    /// The last response is written.
+    /// The last response was written, and the client is to close its side.
     Closing,
 }
 
@@ -65,18 +67,18 @@
     }
 }
 
-/// Whether a connection is evicted for another.
+/// Whether a connection is evicted to admit another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Eviction {
-    /// It may stay.
+    /// The connection is not evicted.
     None,
-    /// It is closed with a final response, and lingers for the client to read it.
+    /// The connection gets a final response and lingers until the client has read it.
     Graceful,
-    /// It no longer lingers.
+    /// The connection is closed without lingering.
     Immediate,
 }
 
-/// How soon a connection is evicted: the smallest goes first.
+/// Order of eviction: the connection with the smallest value is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionPriority {
     rank: EvictionRank,
@@ -98,12 +100,12 @@
 
 struct ConnectionState {
     phase: ConnectionPhase,
-    /// When the phase began.
+    /// When the connection entered the phase.
     since: Instant,
-    /// It has carried a whole request.
+    /// At least one request was submitted.
     has_carried_request: bool,
     eviction: Eviction,
-    /// Bytes outside any request that were received since the last response.
+    /// Bytes outside of requests that were discarded since the last response.
     discarded_bytes: usize,
     message: MessageFraming,
 }
@@ -140,13 +142,13 @@
         self.state().enter(phase);
     }
 
-    /// When the timeout of the current phase ends.
+    /// When the timeout of the current phase expires.
     pub fn phase_deadline(&self) -> Instant {
         let state = self.state();
         state.since + state.phase.timeout()
     }
 
-    /// Records that a whole request was received: the connection now waits for its response.
+    /// Records that a complete request was received: the connection now waits for the response.
     pub fn request_received(&self) {
         let mut state = self.state();
         state.enter(ConnectionPhase::AwaitingResponse);
@@ -158,8 +160,8 @@
         self.enter(ConnectionPhase::WritingResponse);
     }
 
-    /// Records that all that was written has reached the operating system. After a response, the
-    /// connection is idle.
+    /// Records that all written bytes were passed to the operating system. If that completes a
+    /// response, the connection becomes idle.
     pub(super) fn flushed(&self) {
         let mut state = self.state();
         if state.phase == ConnectionPhase::WritingResponse {
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Records bytes that go to the HTTP parser.
+    /// Records bytes that are passed to the HTTP parser.
     pub(super) fn received(&self, bytes: &[u8]) {
         let mut state = self.state();
         if state.phase == ConnectionPhase::Idle && !bytes.is_empty() {
@@ -182,7 +184,7 @@
     ///
     /// # Errors
     ///
-    /// `InvalidData` once more was discarded than is tolerated.
+    /// Returns `InvalidData` if the discarded bytes exceed the limit.
     pub(super) fn discarded(&self, bytes: usize) -> io::Result<()> {
         let mut state = self.state();
         state.discarded_bytes += bytes;
@@ -196,34 +198,34 @@
         self.state().phase == ConnectionPhase::AwaitingResponse
     }
 
-    /// Whether nothing of a first request was received.
+    /// Whether no byte has been received on the connection.
     pub fn is_new(&self) -> bool {
         let state = self.state();
         state.phase == ConnectionPhase::FirstRequest && state.message.is_empty()
     }
 
-    /// Checks the head of the current request.
+    /// Checks that the head of the current request frames the request unambiguously.
     ///
     /// # Errors
     ///
-    /// Why the request can be read in more than one way.
+    /// Returns the reason for which the request is ambiguous.
     pub fn check_head(&self) -> Result<(), FramingError> {
         self.state().message.check_head()
     }
 
-    /// Whether more was received than the current request, whose body has `body_bytes`, if that is
-    /// known.
+    /// Whether bytes after the current request were received. `body_bytes` is the length of its
+    /// body, if known.
     pub fn has_excess(&self, body_bytes: Option<u64>) -> bool {
         let state = self.state();
         state.discarded_bytes > 0 || state.message.has_excess(body_bytes)
     }
 
-    /// Waits until the connection is evicted for another.
+    /// Waits until the connection is evicted to admit another one.
     pub async fn eviction_requested(&self) {
-        self.evicted(Eviction::Graceful).await;
+        self.wait_for_eviction(Eviction::Graceful).await;
     }
 
-    pub(super) async fn evicted(&self, eviction: Eviction) {
+    pub(super) async fn wait_for_eviction(&self, eviction: Eviction) {
         while self.state().eviction < eviction {
             self.eviction_changed.notified().await;
         }
@@ -235,7 +237,7 @@
         self.eviction_changed.notify_one();
     }
 
-    /// The response that the client still gets when its connection ends now.
+    /// The final response that is due if the connection ends now for this reason.
     pub fn final_response(&self, reason: EndReason) -> Option<FinalResponse> {
         let state = self.state();
         if !state.phase.is_receiving_request() {
@@ -249,12 +251,12 @@
         }
     }
 
-    /// How soon the connection is evicted for another; `None` if it may not be.
+    /// The priority of the connection for eviction; `None` if it must not be evicted.
     pub(super) fn eviction_priority(&self, now: Instant) -> Option<EvictionPriority> {
         let state = self.state();
         let (rank, min_age) = match state.phase {
             ConnectionPhase::Closing => (EvictionRank::ClosingOrNeverUsed, MIN_AGE_WITHOUT_REQUEST),
-            // It has asked for nothing but readiness.
+            // The client has sent only readiness requests.
             ConnectionPhase::Idle if !state.has_carried_request => {
                 (EvictionRank::ClosingOrNeverUsed, Duration::ZERO)
             }
--- a/crates/net/src/frontend/admission/discard.rs
+++ b/crates/net/src/frontend/admission/discard.rs
@@ -1,23 +1,22 @@
-//! Reading and discarding bytes that belong to no request.
+//! Reads and discards bytes that belong to no request.
 //!
-//! The HTTP parser stops reading while it has bytes that it cannot use yet, and then does not see
-//! the end of the connection. So what a client sends while its request waits for a response, or
-//! after the last response, is read here instead.
+//! While the HTTP parser holds bytes that it cannot process yet, it does not read and does not
+//! notice that the client has disconnected. Therefore the bytes that a client sends while its
+//! request waits for a response, or after the last response, are read here instead.
 
 use super::connection::ClientConnection;
 use std::io;
 use std::task::{Context, Poll, ready};
 use tokio::net::TcpStream;
 
-/// Bytes that are read at a time.
+/// Size of the buffer for a single read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Discards what the client sends while its request waits for a response. Ready once the client has
-/// disconnected.
+/// Discards input while a request waits for its response. Ready once the client has disconnected.
 ///
 /// # Errors
 ///
-/// The connection has failed, or the client has sent more than is tolerated.
+/// Returns an error if the connection has failed, or if the discarded bytes exceed the limit.
 pub fn poll_disconnected(
     stream: &TcpStream,
     connection: &ClientConnection,
@@ -32,12 +31,12 @@
     Poll::Pending
 }
 
-/// Discards what the client sends until it has closed its side, the connection has failed, or the
-/// client has sent more than is tolerated.
-pub(super) async fn drain(stream: &TcpStream, connection: &ClientConnection) {
+/// Discards input until the client has closed its side, the connection has failed, or the discarded
+/// bytes exceed the limit.
+pub(super) async fn discard_until_closed(stream: &TcpStream, connection: &ClientConnection) {
     while stream.readable().await.is_ok() {
         match discard_available(stream, connection) {
-            Ok(Discarded::Some) => {}
+            Ok(Discarded::Available) => {}
             Ok(Discarded::EndOfStream) | Err(_) => return,
         }
     }
@@ -45,19 +44,19 @@
 
 #[derive(PartialEq, Eq)]
 enum Discarded {
-    /// What was available, which may be nothing.
-    Some,
+    /// The available bytes, of which there may be none.
+    Available,
     EndOfStream,
 }
 
-// Not inlined, so that a poll that finds nothing to read has no such buffer on its stack.
+// Not inlined, so that polls that find nothing to read do not allocate the buffer on their stack.
 #[inline(never)]
 fn discard_available(stream: &TcpStream, connection: &ClientConnection) -> io::Result<Discarded> {
     let mut buffer = [0; READ_BUFFER_BYTES];
     match stream.try_read(&mut buffer) {
         Ok(0) => Ok(Discarded::EndOfStream),
-        Ok(bytes) => connection.discarded(bytes).map(|()| Discarded::Some),
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Discarded::Some),
+        Ok(bytes) => connection.discarded(bytes).map(|()| Discarded::Available),
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Discarded::Available),
         Err(error) => Err(error),
     }
 }
--- a/crates/net/src/frontend/admission/framing.rs
+++ b/crates/net/src/frontend/admission/framing.rs
@@ -1,26 +1,27 @@
-//! What frames a message: the length of its head, and the headers that say where its body ends.
+//! Inspects the framing of a request: the length of its head, and the headers that determine where
+//! its body ends.
 //!
-//! The HTTP parser accepts and merges repeated framing headers, and does not say what it has read
-//! beyond a message; another parser on the way may see a second request there (request smuggling).
-//! So the bytes are inspected before the parser sees them.
+//! The HTTP parser merges repeated framing headers and does not expose bytes that it has read after
+//! a message. Another parser on the path may take these bytes for a second request (request
+//! smuggling). Therefore the bytes are inspected before they are passed to the parser.
 
 use thiserror::Error;
 
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding:";
-/// Bytes of each line that are kept: enough to recognise both framing headers.
+/// Number of bytes kept of each line: enough to recognise both framing headers.
 const LINE_START_BYTES: usize = TRANSFER_ENCODING.len();
 
-/// Why a message can be read in more than one way.
+/// Why a message can be interpreted in more than one way.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FramingError {
-    /// The parser read the request together with the previous one.
+    /// The parser has read the request together with the previous one.
     #[error("a request before the answer to the last one")]
     Pipelined,
-    /// The request line has a fragment, or bytes that are not printable ASCII.
+    /// The request line contains a fragment, or bytes other than printable ASCII.
     #[error("bytes in the path")]
     InvalidRequestLine,
-    /// Two headers contradict each other on where the body ends.
+    /// Both `Content-Length` and `Transfer-Encoding` are present.
     #[error("Content-Length beside Transfer-Encoding")]
     LengthAndTransferEncoding,
     /// `Content-Length` is repeated.
@@ -28,14 +29,14 @@
     RepeatedLength,
 }
 
-/// Counts the bytes of a message, and records the framing headers of its head.
+/// Counts the bytes of a message and records the framing headers in its head.
 #[derive(Debug, Default)]
 pub(super) struct MessageFraming {
     received_bytes: u64,
     /// Length of the head; `None` until it is complete.
     head_bytes: Option<u64>,
     complete_lines: usize,
-    /// Length of the current line, without its line ending.
+    /// Length of the current line without its line ending.
     line_bytes: usize,
     /// The first bytes of the current line, in lower case.
     line_start: Vec<u8>,
@@ -45,7 +46,7 @@
 }
 
 impl MessageFraming {
-    /// Takes the next bytes of the message into account.
+    /// Processes the next bytes of the message.
     pub(super) fn observe(&mut self, bytes: &[u8]) {
         for &byte in bytes {
             self.received_bytes += 1;
@@ -60,7 +61,7 @@
             self.end_line();
             return;
         }
-        // An endpoint would get such a target in another form than it was received in.
+        // Such a target would be forwarded to the endpoint in a different form.
         self.has_invalid_request_line |=
             self.complete_lines == 0 && !is_allowed_in_request_line(byte);
         self.line_bytes += usize::from(byte != b'\r');
@@ -81,16 +82,16 @@
         self.line_start.clear();
     }
 
-    /// Whether nothing of the message has been received.
+    /// Whether no byte of the message has been received.
     pub(super) fn is_empty(&self) -> bool {
         self.received_bytes == 0
     }
 
-    /// Checks the head of the message.
+    /// Checks that the head frames the message unambiguously.
     ///
     /// # Errors
     ///
-    /// The first reason for which the message can be read in more than one way.
+    /// Returns the first reason for which the message is ambiguous.
     pub(super) fn check_head(&self) -> Result<(), FramingError> {
         if self.head_bytes.is_none() {
             return Err(FramingError::Pipelined);
@@ -107,8 +108,8 @@
         Ok(())
     }
 
-    /// Whether more was received than the head and a body of `body_bytes`. Not known for a chunked
-    /// body.
+    /// Whether bytes after the head and a body of `body_bytes` were received. Always `false` for a
+    /// chunked body, whose length on the wire is unknown.
     pub(super) fn has_excess(&self, body_bytes: Option<u64>) -> bool {
         let (Some(head_bytes), Some(body_bytes)) = (self.head_bytes, body_bytes) else {
             return false;
--- a/crates/net/src/frontend/admission/mod.rs
+++ b/crates/net/src/frontend/admission/mod.rs
@@ -1,10 +1,11 @@
-//! Admission of client connections: how many are open, how long each may stay in a phase, and how
-//! it is closed.
+//! Admission of client connections: limits how many are open and how long each may stay in a phase,
+//! and closes them.
 //!
-//! Clients that hold connections without sending a request must not exhaust the sockets. Each
-//! connection therefore has a permit and a phase with a timeout, and one without a request in
-//! progress is evicted when a new client finds no capacity. Whatever ends a connection, [`close()`]
-//! closes it, so that a response that is still due arrives and unread bytes do not cause a reset.
+//! Clients that open connections without sending requests must not exhaust the sockets. Each
+//! connection therefore has a permit and a phase with a timeout, and a connection without a request
+//! in progress is evicted if there is no capacity for a new one. For whatever reason a connection
+//! ends, [`close()`] closes it, so that a pending response is delivered and unread bytes do not
+//! cause a reset.
 
 mod close;
 mod connection;
--- a/crates/net/src/frontend/admission/permits.rs
+++ b/crates/net/src/frontend/admission/permits.rs
@@ -1,16 +1,16 @@
-//! The permits of client connections: up to a limit they are served, some more get only an overload
-//! response, and the others are closed at once.
+//! Permits for client connections. Connections up to a limit are served, a number of spare ones get
+//! only overload responses, and all others are closed at once.
 //!
-//! At the limit a new connection evicts the one that is easiest to miss. Evicted connections still
-//! linger for their final response; no more of them than there are spare permits, so that a flood
-//! of new connections cannot hold sockets.
+//! At the limit, a new connection evicts the one whose loss affects its client least. Evicted
+//! connections linger until the client has read the final response. At most as many linger as there
+//! are spare permits, so that a flood of new connections cannot occupy all sockets.
 
 use super::connection::{ClientConnection, Eviction};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::time::Instant;
 
-/// The client connections of a frontend.
+/// Admits client connections to a frontend.
 pub struct Admission {
     max_served: usize,
     spare: usize,
@@ -24,7 +24,8 @@
 struct PermitTable {
     last_id: u64,
     admitted: BTreeMap<PermitId, Arc<ClientConnection>>,
-    /// Connections that no longer count, or never did, and linger for their final response.
+    /// Evicted and rejected connections that linger until the client has read the final response.
+    /// They do not count towards the limit.
     lingering: BTreeMap<PermitId, Arc<ClientConnection>>,
 }
 
@@ -34,7 +35,7 @@
         PermitId(self.last_id)
     }
 
-    /// Takes the permit of the connection that is to be evicted first, if any may be.
+    /// Removes the connection that is to be evicted first, if any may be evicted.
     fn remove_first_to_evict(&mut self, now: Instant) -> Option<(PermitId, Arc<ClientConnection>)> {
         let candidates = self
             .admitted
@@ -44,7 +45,7 @@
         self.admitted.remove_entry(&first)
     }
 
-    /// Lets a connection linger; beyond the limit, the oldest ones no longer do.
+    /// Adds a lingering connection. If there are more than `max_lingering`, the oldest are closed.
     fn linger(&mut self, id: PermitId, connection: Arc<ClientConnection>, max_lingering: usize) {
         self.lingering.insert(id, connection);
         while self.lingering.len() > max_lingering {
@@ -56,30 +57,30 @@
     }
 }
 
-/// What a new connection is admitted to.
+/// How a new connection is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// Its requests are served.
     Served,
     /// Each of its requests gets an overload response.
     Overloaded,
-    /// It gets an overload response before any request, and is closed.
+    /// It is closed with an overload response, before any request.
     Rejected,
 }
 
-/// The permit of a connection. Dropped, it is free for another.
+/// The permit of a connection; released when it is dropped.
 pub struct ConnectionPermit {
     admission: Arc<Admission>,
     id: PermitId,
     /// The state of the connection.
     pub connection: Arc<ClientConnection>,
-    /// What the connection is admitted to.
+    /// How the connection is handled.
     pub decision: AdmissionDecision,
 }
 
 impl Admission {
-    /// Permits for `max_served` connections, and for `spare` more that get only an overload
-    /// response.
+    /// Creates permits for `max_served` connections, and for `spare` more that get only overload
+    /// responses.
     pub fn new(max_served: usize, spare: usize) -> Arc<Admission> {
         Arc::new(Admission {
             max_served,
@@ -94,13 +95,14 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Number of connections that have a permit.
+    /// Number of connections that hold a permit.
     #[cfg(test)]
     pub(super) fn admitted(&self) -> usize {
         self.table().admitted.len()
     }
 
-    /// Admits a new connection, and evicts another for it if that is needed and possible.
+    /// Decides how to handle a new connection. At the limit, another connection is evicted for it
+    /// if possible.
     pub fn admit(self: &Arc<Admission>, now: Instant) -> ConnectionPermit {
         let mut table = self.table();
         if table.admitted.len() >= self.max_served {
--- a/crates/net/src/frontend/admission/stream.rs
+++ b/crates/net/src/frontend/admission/stream.rs
@@ -1,4 +1,4 @@
-//! The stream between the socket and the HTTP parser, which inspects the bytes on the way.
+//! The stream between the socket and the HTTP parser, which inspects the bytes that are read.
 
 use super::connection::ClientConnection;
 use super::discard::poll_disconnected;
@@ -9,14 +9,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream that records what the HTTP parser reads and writes in the state of its connection.
+/// A stream that records the reads and writes of the HTTP parser in the state of its connection.
 pub struct InspectedStream {
     stream: Arc<TcpStream>,
     connection: Arc<ClientConnection>,
 }
 
 impl InspectedStream {
-    /// Inspects a connection.
+    /// Wraps the stream of a connection.
     pub fn new(stream: Arc<TcpStream>, connection: Arc<ClientConnection>) -> InspectedStream {
         InspectedStream { stream, connection }
     }
@@ -87,14 +87,14 @@
         true
     }
 
-    /// Writes are not buffered, so a flush only tells that the response is written: the connection
-    /// becomes idle.
+    /// Writes are not buffered, so a flush only indicates that the response was written and the
+    /// connection becomes idle.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.flushed();
         Poll::Ready(Ok(()))
     }
 
-    /// Does nothing: only [`close`](super::close()) closes a connection.
+    /// Does nothing, because only [`close`](super::close()) closes a connection.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/net/src/frontend/admission/tests.rs
+++ b/crates/net/src/frontend/admission/tests.rs
@@ -6,14 +6,14 @@
 
 fn framing_of(message: &str) -> MessageFraming {
     let mut framing = MessageFraming::default();
-    // In two parts, as bytes may be received.
+    // Split in two, because a message may be received in several reads.
     let (first, second) = message.as_bytes().split_at(message.len() / 2);
     framing.observe(first);
     framing.observe(second);
     framing
 }
 
-// A body that is framed twice, or has bytes behind it, may hide a second request.
+// Contradictory framing headers, or bytes after the body, may hide a second request.
 #[test]
 fn contradictory_framing_and_excess_bytes_are_detected() {
     let head = |lines: &str| format!("\r\nPOST /c/k HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
@@ -52,7 +52,7 @@
     assert!(framing_of(&(whole + "POST")).has_excess(Some(2)));
 }
 
-// A connection whose request waits for a response, or has just begun, is never evicted.
+// A connection whose request waits for a response, or has only just begun, must not be evicted.
 #[test]
 fn connections_without_a_request_are_evicted_for_new_ones() {
     let (admission, start) = (Admission::new(3, 1), Instant::now());
@@ -63,7 +63,7 @@
     let idle = admission.admit(at(0));
     idle.connection.request_received();
     idle.connection.enter(ConnectionPhase::Idle);
-    // None has been without a request for long enough.
+    // No connection has been without a request for long enough to be evicted.
     let overload = admission.admit(at(20));
     assert_eq!(overload.decision, AdmissionDecision::Overloaded);
     assert_eq!(
@@ -73,13 +73,13 @@
     drop(overload);
     let third = admission.admit(at(60));
     assert!(third.decision == AdmissionDecision::Served && admission.admitted() == 3);
-    // One that has asked for nothing but readiness is evicted at once.
+    // An idle connection that has carried no submitted request is evicted at once.
     third.connection.enter(ConnectionPhase::Idle);
     let fourth = admission.admit(at(60));
     assert_eq!(fourth.decision, AdmissionDecision::Served);
     fourth.connection.request_received();
     drop((silent, third));
-    // The one between two requests is evicted next, then none can be.
+    // The connection that is idle after a request is evicted next. After that, none may be evicted.
     let last = admission.admit(Instant::now() + Duration::from_secs(5));
     last.connection.request_received();
     assert_eq!(last.decision, AdmissionDecision::Served);
--- a/crates/net/src/frontend/mod.rs
+++ b/crates/net/src/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! The frontends: how clients hand in requests and get their responses. All frontends submit to the
-//! same core.
+//! The frontends, through which clients submit requests and receive responses. All frontends submit
+//! to the same core.
 
 pub mod admission;
 pub mod gearman;
@@ -12,27 +12,27 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
 
-/// What frontends and running tasks send to the event loop.
+/// A message from a frontend or another task to the event loop.
 #[derive(Debug)]
 pub enum LoopMessage {
     /// An event for the core.
     Event(Event),
     /// A client has submitted a request and waits for its response.
     Submitted {
-        /// The client.
+        /// The handle of the client that waits for the response.
         handle: RequestHandle,
-        /// Its request.
+        /// The request.
         request: ClientRequest,
-        /// Where the response goes.
+        /// Receives the response.
         response: oneshot::Sender<ClientResponse>,
-        /// Where the progress of attempts goes, if the client wants it.
+        /// Receives the progress of attempts, if the client needs it.
         updates: Option<mpsc::UnboundedSender<AttemptUpdate>>,
     },
-    /// An operator wants to see the state of the dispatcher.
+    /// The state of the dispatcher is requested for an operator.
     OverviewRequested(oneshot::Sender<Overview>),
 }
 
-/// Sends events and requests to the event loop.
+/// Sends events and requests to the event loop. Clones send to the same event loop.
 #[derive(Clone, Debug)]
 pub struct EventSender {
     messages: mpsc::UnboundedSender<LoopMessage>,
@@ -40,7 +40,7 @@
 }
 
 impl EventSender {
-    /// A sender, and the channel that its messages come out of.
+    /// Creates a sender, and the receiver for the event loop.
     pub fn new() -> (EventSender, mpsc::UnboundedReceiver<LoopMessage>) {
         let (messages, receiver) = mpsc::unbounded_channel();
         (
@@ -54,18 +54,18 @@
 
     /// Sends an event to the core.
     pub fn send(&self, event: Event) {
-        // An event loop that has ended needs no events.
+        // Sending fails only if the event loop has ended, which then needs no events.
         let _ = self.messages.send(LoopMessage::Event(event));
     }
 
-    /// The state of the dispatcher; empty if the event loop has ended.
+    /// Requests the state of the dispatcher; empty if the event loop has ended.
     pub async fn overview(&self) -> Overview {
         let (sender, receiver) = oneshot::channel();
         let _ = self.messages.send(LoopMessage::OverviewRequested(sender));
         receiver.await.unwrap_or_default()
     }
 
-    /// Submits a request; the progress of its attempts goes to `updates`.
+    /// Submits a request. The progress of its attempts is sent to `updates`.
     pub fn submit(
         &self,
         request: ClientRequest,
@@ -88,8 +88,8 @@
     }
 }
 
-/// The response to a request that was submitted. Dropped before it has come, the client has
-/// disconnected.
+/// The pending response to a submitted request. Dropping it before the response has been received
+/// reports to the core that the client has disconnected.
 pub struct PendingResponse {
     events: EventSender,
     handle: RequestHandle,
@@ -98,7 +98,7 @@
 }
 
 impl PendingResponse {
-    /// What the core knows the client by.
+    /// The handle by which the core identifies the waiting client.
     pub fn handle(&self) -> RequestHandle {
         self.handle
     }
