--- a/crates/net/src/frontend/http/connection.rs
+++ b/crates/net/src/frontend/http/connection.rs
@@ -1,5 +1,5 @@
-//! One connection: served by hyper until its requests, a timeout, an eviction or the shutdown end
-//! it, and then closed.
+//! Serves a single connection with hyper until the client, a timeout, an eviction or the shutdown
+//! ends it, and then closes it.
 
 use super::{CloseSignal, wait_for_close};
 use crate::frontend::admission::{
@@ -20,10 +20,11 @@
 use tower_service::Service as _;
 use tracing::debug;
 
-/// The largest head of a request.
+/// Size limit of the head of a request.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Serves a connection until it ends, and closes it. Without a router it is only closed.
+/// Serves a connection until it ends, and closes it. Without a router, the connection is closed
+/// with an overload response at once.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     router: Option<Router>,
@@ -46,7 +47,8 @@
     admission::close(&stream, connection, final_response).await;
 }
 
-/// Serves the requests of a connection. Returns why it ends; it is still open then.
+/// Serves the requests of a connection. Returns the reason for which the connection ends; the
+/// caller has to close it.
 async fn serve_requests(
     stream: &Arc<TcpStream>,
     router: Router,
@@ -65,14 +67,15 @@
     let mut closing = pin!(wait_for_close(&mut closing));
     let mut is_closing = false;
     poll_fn(|cx| {
-        // An error means that the client has disconnected, or does not speak HTTP: hyper has sent
-        // the response to that.
+        // An error means that the client has disconnected or has sent malformed HTTP, to which
+        // hyper has already responded.
         if http.as_mut().poll(cx).is_ready() {
             return Poll::Ready(EndReason::Completed);
         }
         if !is_closing && closing.as_mut().poll(cx).is_ready() {
             is_closing = true;
-            // hyper would close it without a response, and the first request would be lost.
+            // hyper would close the connection without a response, and a first request that is on
+            // its way would be lost.
             if connection.is_new() {
                 return Poll::Ready(EndReason::ShuttingDown);
             }
@@ -92,7 +95,7 @@
     .await
 }
 
-/// Serves one request. The handlers find the connection in the extensions of the request.
+/// Serves one request. Handlers get the connection from the extensions of the request.
 fn call(
     mut router: Router,
     connection: Arc<ClientConnection>,
@@ -108,15 +111,15 @@
     }
 }
 
-/// Ready once the timeout of the current phase of the connection has ended.
+/// Ready once the timeout of the connection's current phase has expired.
 fn poll_timeout(
     mut timeout: Pin<&mut Sleep>,
     connection: &ClientConnection,
     cx: &mut Context<'_>,
 ) -> Poll<()> {
-    let due = connection.phase_deadline();
-    if timeout.deadline() != due {
-        timeout.as_mut().reset(due);
+    let deadline = connection.phase_deadline();
+    if timeout.deadline() != deadline {
+        timeout.as_mut().reset(deadline);
     }
     timeout.poll(cx)
 }
--- a/crates/net/src/frontend/http/mod.rs
+++ b/crates/net/src/frontend/http/mod.rs
@@ -1,8 +1,8 @@
-//! The HTTP frontend: clients hand in jobs with `POST` requests, on axum and hyper.
+//! The HTTP frontend, based on axum and hyper, to which clients submit jobs with `POST` requests.
 //!
-//! It reads each request into a [`ClientRequest`](pumiceway_core::ClientRequest), submits it to the
-//! core, and maps the [`ClientResponse`](pumiceway_core::ClientResponse) to an HTTP response. How
-//! many connections there are, and for how long, is up to [`admission`](super::admission).
+//! It parses each request into a [`ClientRequest`](pumiceway_core::ClientRequest), submits it to
+//! the core, and maps the [`ClientResponse`](pumiceway_core::ClientResponse) to an HTTP response.
+//! The number of connections and their timeouts are controlled by [`admission`](super::admission).
 
 mod connection;
 mod request;
@@ -21,10 +21,10 @@
 
 pub use request::{MAX_BODY_BYTES, RequestError};
 
-/// Set once the frontends are to close.
+/// Becomes `true` when the frontends are to close.
 pub type CloseSignal = watch::Receiver<bool>;
 
-/// Waits until the frontends are to close.
+/// Waits until the close signal is set.
 pub async fn wait_for_close(closing: &mut CloseSignal) {
     let _ = closing.wait_for(|is_closing| *is_closing).await;
 }
@@ -34,14 +34,15 @@
 pub struct HttpFrontend {
     /// Sends requests to the core.
     pub events: EventSender,
-    /// The settings, for the classes and tenants that requests name.
+    /// The settings, which define the classes and tenants of requests.
     pub settings: Arc<DeploymentSettings>,
-    /// Whether requests can be served.
+    /// Whether requests can be served; reported by the readiness route.
     pub ready: Arc<AtomicBool>,
 }
 
 impl HttpFrontend {
-    /// Serves clients until `closing` is set, and then until the last connection has ended.
+    /// Accepts connections until `closing` is set, and then serves the open ones until the last has
+    /// ended.
     pub async fn serve(self, listener: TcpListener, sockets: SocketBudget, closing: CloseSignal) {
         Server::new(self, sockets, closing).run(listener).await;
     }
--- a/crates/net/src/frontend/http/request.rs
+++ b/crates/net/src/frontend/http/request.rs
@@ -1,8 +1,8 @@
-//! Reading an HTTP request into a [`ClientRequest`].
+//! Parses an HTTP request into a [`ClientRequest`].
 //!
-//! The head is checked before the body is read, so that a client learns early that its request is
-//! of no use. After an error the connection is closed: what follows such a request could be taken
-//! for another one.
+//! The head is validated before the body is read, so that a client learns of an error early. After
+//! an error the connection is closed, because the bytes after an invalid request could be taken for
+//! another request.
 
 use crate::frontend::admission::{ClientConnection, FramingError};
 use axum::extract::{FromRequest, Request};
@@ -18,15 +18,15 @@
 use thiserror::Error;
 use tokio::time::timeout_at;
 
-/// The largest body of a request.
+/// Size limit of the body of a request.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Time before the request timeout at which an incomplete body is answered with an error.
+/// How long before the request timeout an incomplete body gets an error response.
 const BODY_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
-/// Longer remaining times are shortened to this.
+/// Longer remaining times are reduced to this limit.
 const MAX_REMAINING_MS: u64 = 24 * 60 * 60 * 1_000;
-/// The longest id of a request.
+/// Length limit of the id of a request.
 const MAX_ID_BYTES: usize = 64;
-/// The largest value of a label.
+/// Upper limit of the value of a label.
 const MAX_LABEL_VALUE: f64 = 1e6;
 
 const CLASS_HEADER: &str = "x-lane";
@@ -36,43 +36,43 @@
 const TENANT_HEADER: &str = "x-org";
 const LABELS_HEADER: &str = "x-labels";
 
-/// Why a request is not submitted. The message is the body of the response.
+/// Why a request is not submitted to the core. The message is the body of the response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// No route has this path.
+    /// No route matches the path.
     #[error("no such path")]
     UnknownPath,
-    /// It can be read in more than one way.
+    /// The request can be interpreted in more than one way.
     #[error(transparent)]
     Framing(#[from] FramingError),
-    /// It is no `POST`.
+    /// The method is not `POST`.
     #[error("jobs come by POST")]
     MethodNotAllowed,
-    /// The settings have no such class.
+    /// The settings do not define the class.
     #[error("unknown class")]
     UnknownClass,
-    /// The header names another class than the path.
+    /// The header names a different class than the path.
     #[error("X-Lane and path name two classes")]
     ContradictoryClass,
     /// The id is missing or malformed.
     #[error("X-Txn")]
     InvalidId,
-    /// The class needs an idempotency key.
+    /// The class requires an idempotency key, and the header is missing or empty.
     #[error("Idempotency-Key")]
     MissingIdempotencyKey,
     /// The remaining time is missing or malformed.
     #[error("X-Remaining-Ms")]
     InvalidRemainingTime,
-    /// The settings have no such tenant.
+    /// The settings do not define the tenant.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// The labels are malformed.
+    /// A label is malformed, or its value is out of range.
     #[error("X-Labels")]
     InvalidLabels,
-    /// A header that must be unique is not.
+    /// A header that must be unique occurs more than once.
     #[error("a header comes twice")]
     RepeatedHeader,
-    /// The value of a header is not text.
+    /// The value of a header is not printable ASCII.
     #[error("a header is not text")]
     UnreadableHeader,
     /// The body exceeds [`MAX_BODY_BYTES`].
@@ -81,10 +81,10 @@
     /// The body was not received in time.
     #[error("the body took too long")]
     BodyTimeout,
-    /// Reading the body has failed.
+    /// Reading the body failed.
     #[error("the body can't be read")]
     UnreadableBody(StatusCode),
-    /// More was received than the body.
+    /// Bytes after the body were received.
     #[error("more came than Content-Length says")]
     ExcessBytes,
 }
@@ -119,11 +119,11 @@
     }
 }
 
-/// Reads a request.
+/// Reads and parses a request.
 ///
 /// # Errors
 ///
-/// The request is malformed, or was not received in time.
+/// Returns an error if the request is invalid or was not received in time.
 pub(super) async fn read_request(
     settings: &DeploymentSettings,
     connection: &ClientConnection,
@@ -138,7 +138,7 @@
     Ok(head.with_body(body))
 }
 
-/// What the request line and the headers say.
+/// The parsed request line and headers.
 struct RequestHead {
     class: ClassId,
     path: String,
@@ -190,7 +190,7 @@
         .map_or(uri.path(), |path_and_query| path_and_query.as_str())
 }
 
-/// The class that the first segment of the path names.
+/// Parses the class, which is the first segment of the path.
 fn parse_class(
     settings: &DeploymentSettings,
     uri: &Uri,
@@ -235,16 +235,16 @@
 fn parse_remaining(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text =
         single_header(headers, REMAINING_TIME_HEADER)?.ok_or(RequestError::InvalidRemainingTime)?;
-    // `parse` alone would accept a sign.
+    // `parse` would also accept a sign.
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(RequestError::InvalidRemainingTime);
     }
-    // Digits that do not parse are a number that is too large.
+    // Parsing digits fails only if the number is too large.
     let milliseconds = text.parse().unwrap_or(MAX_REMAINING_MS);
     Ok(Duration::from_millis(milliseconds.min(MAX_REMAINING_MS)))
 }
 
-/// The tenant; where the settings have none, the header means nothing and is not read.
+/// Parses the tenant. The header is ignored if the settings define no tenants.
 fn parse_tenant(
     settings: &DeploymentSettings,
     headers: &HeaderMap,
@@ -255,21 +255,22 @@
     let Some(name) = single_header(headers, TENANT_HEADER)? else {
         return Ok(None);
     };
-    // A mistyped name is an error: its jobs would count for no tenant, and yield to all others.
+    // An unknown name is an error: jobs without a tenant would yield to those of all tenants, which
+    // a client with a mistyped name does not expect.
     let tenant = settings
         .tenant_id(name)
         .ok_or(RequestError::UnknownTenant)?;
     Ok(Some(tenant))
 }
 
-/// What a job needs of an endpoint.
+/// The resources that a job needs at an endpoint.
 struct Labels {
     slots: f64,
     memory: f64,
 }
 
 impl Labels {
-    /// Parses `name=value` pairs that are separated by commas; unknown names are ignored.
+    /// Parses comma-separated `name=value` pairs. Unknown names are ignored.
     fn parse(headers: &HeaderMap) -> Result<Labels, RequestError> {
         let mut labels = Labels {
             slots: 1.0,
@@ -305,7 +306,7 @@
     }
 }
 
-/// Reads the body, whose length is checked first: one that is too large is not waited for.
+/// Reads the body. A body whose declared length exceeds the limit is rejected without reading it.
 async fn read_body(connection: &ClientConnection, request: Request) -> Result<Bytes, RequestError> {
     let body_bytes = request.body().size_hint().exact();
     if body_bytes.is_some_and(|bytes| bytes > MAX_BODY_BYTES as u64) {
@@ -322,8 +323,8 @@
     Ok(body)
 }
 
-/// The value of a header that must be unique: of two that contradict each other, an endpoint might
-/// use the other one.
+/// Returns the value of a header that must be unique. If it were repeated, an endpoint might use
+/// another of the values than the dispatcher.
 fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
--- a/crates/net/src/frontend/http/response.rs
+++ b/crates/net/src/frontend/http/response.rs
@@ -1,4 +1,4 @@
-//! The HTTP response for a response of the core.
+//! Maps responses of the core to HTTP responses.
 
 use axum::body::Body;
 use axum::http::{StatusCode, header};
@@ -6,7 +6,7 @@
 use pumiceway_core::{ClientResponse, Rejection};
 use std::time::Duration;
 
-/// Maps a response of the core to HTTP.
+/// Maps a response of the core to an HTTP response.
 pub(super) fn into_http(response: ClientResponse) -> Response {
     match response {
         ClientResponse::Served(result) => Response::new(Body::from(result)),
--- a/crates/net/src/frontend/http/routes.rs
+++ b/crates/net/src/frontend/http/routes.rs
@@ -1,4 +1,4 @@
-//! The routes: readiness, and the classes, to which clients submit jobs.
+//! The routes: readiness, and one for each class, to which clients submit jobs.
 
 use super::HttpFrontend;
 use super::request::{MAX_BODY_BYTES, RequestError, read_request};
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The routes of connections that are served.
+/// The router for connections that are served.
 pub(super) fn router(frontend: HttpFrontend) -> Router {
     Router::new()
         .route("/-/ready", get(ready))
@@ -25,7 +25,7 @@
         .with_state(frontend)
 }
 
-/// Answers any request with an overload response.
+/// The router for connections over the limit, which sends an overload response to any request.
 pub(super) fn overload_router() -> Router {
     Router::new().fallback(too_many_connections)
 }
@@ -61,7 +61,8 @@
     connection.request_received();
     let response = frontend.events.submit(request, None).response().await;
     let mut response = into_http(response);
-    // What the client has sent in the meantime is discarded, and may have begun another request.
+    // Bytes that the client has sent in the meantime were discarded, and may have been the
+    // beginning of another request.
     if connection.has_excess(body_bytes) {
         response
             .headers_mut()
--- a/crates/net/src/frontend/http/server.rs
+++ b/crates/net/src/frontend/http/server.rs
@@ -1,7 +1,7 @@
-//! The accept loop: each connection gets a permit and a task of its own.
+//! The accept loop, which gives each connection a permit and a task of its own.
 //!
-//! On shutdown the connections that the operating system has already accepted are served too, as
-//! closing the listener would reset them.
+//! On shutdown, the connections in the backlog of the listener are accepted too, because closing
+//! the listener would reset them.
 
 use super::connection::serve_connection;
 use super::{CloseSignal, HttpFrontend, routes, wait_for_close};
@@ -15,24 +15,25 @@
 use tokio::time::Instant;
 use tracing::{error, warn};
 
-/// Pause after a failed accept, which for want of descriptors would fail again at once.
+/// Pause after a failed accept, which would fail again at once if file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Connections that the system has accepted and that are taken over at the shutdown, at most.
+/// Limit of the connections that are accepted from the backlog on shutdown.
 const MAX_ACCEPTED_ON_CLOSE: usize = 1_024;
 
-/// Accepts connections and serves them.
+/// Accepts connections and serves each in a task of its own.
 pub(super) struct Server {
     router: Router,
     admission: Arc<Admission>,
     sockets: SocketBudget,
     closing: CloseSignal,
-    /// Each connection holds a clone for as long as it is open.
+    /// Cloned into the task of each connection; nothing is ever sent.
     open_connections: mpsc::Sender<()>,
+    /// Ends once all clones of `open_connections` are dropped.
     all_closed: mpsc::Receiver<()>,
 }
 
 impl Server {
-    /// A server without connections.
+    /// Creates a server without connections.
     pub(super) fn new(
         frontend: HttpFrontend,
         sockets: SocketBudget,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Serves connections until `closing` is set, and then until the last of them has ended.
+    /// Accepts connections until `closing` is set, and then waits until the last one has ended.
     pub(super) async fn run(mut self, listener: TcpListener) {
         self.accept_until_closing(&listener).await;
         for stream in accept_backlog(listener) {
@@ -66,7 +67,7 @@
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => self.spawn_connection(stream),
                     Err(error) => {
-                        error!(frontend = "http", reason = %error, "cannot accept a connection");
+                        error!(frontend = "http", reason = %error, "failed to accept a connection");
                         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
@@ -86,15 +87,16 @@
         });
     }
 
-    /// What serves the requests of a connection; `None` if it is to be closed before any.
-    fn router_for(&self, room: AdmissionDecision) -> Option<Router> {
-        match room {
+    /// The router for the requests of a connection; `None` if the connection is to be closed before
+    /// any request.
+    fn router_for(&self, decision: AdmissionDecision) -> Option<Router> {
+        match decision {
             AdmissionDecision::Served => Some(self.router.clone()),
             AdmissionDecision::Overloaded => {
                 warn!(
                     frontend = "http",
                     limit = self.sockets.inbound,
-                    "too many connections: requests on this one get an overload response"
+                    "too many connections: requests on this connection get an overload response"
                 );
                 Some(routes::overload_router())
             }
@@ -102,7 +104,7 @@
                 warn!(
                     frontend = "http",
                     limit = self.sockets.inbound + self.sockets.spare,
-                    "too many connections: this one is closed with an overload response"
+                    "too many connections: closing this connection with an overload response"
                 );
                 None
             }
@@ -110,7 +112,7 @@
     }
 }
 
-/// Accepts the connections that wait in the backlog of the listener, and closes it.
+/// Accepts the connections in the backlog of the listener, and closes the listener.
 fn accept_backlog(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else {
         return Vec::new();
