--- a/crates/net/benches/jobs.rs
+++ b/crates/net/benches/jobs.rs
@@ -1,6 +1,5 @@
-//! How many jobs a second pass through the program, and how long one is on its way, with Gearman
-//! workers that answer at once. Run with `cargo bench -p pumiceway-net`; everything is on loopback
-//! and ends by itself.
+//! Measures the throughput and the latency of jobs through the Gearman frontend, with workers on
+//! loopback that complete each job after a fixed time. Run with `cargo bench -p pumiceway-net`.
 
 use hdrhistogram::Histogram;
 use pumiceway_test_support::{Peer, ScenarioRunner, run_gearman_echo_worker};
@@ -13,8 +12,9 @@
     {"name":"booking-import","aim-us":1500000,"deadline-us":20000000,"points":3,
      "semantics":"non_idempotent"}]}"#;
 
-/// Workers; jobs at a time; jobs in all; what a job takes.
-const PLAYS: [(usize, usize, usize, u64); 6] = [
+/// Number of workers, number of concurrent jobs, total number of jobs, and the execution time of a
+/// job in microseconds.
+const WORKLOADS: [(usize, usize, usize, u64); 6] = [
     (1, 1, 2_000, 0),
     (4, 4, 10_000, 0),
     (4, 50, 10_000, 0),
@@ -24,50 +24,55 @@
 ];
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("workers  at a time   jobs  takes ms  served   jobs/s   p50 ms   p99 ms   max ms");
-    for (workers, at_a_time, jobs, takes_us) in PLAYS {
+    println!("workers  concurrent   jobs   exec ms  served   jobs/s   p50 ms   p99 ms   max ms");
+    for (workers, concurrent, jobs, execution_us) in WORKLOADS {
         let runner = ScenarioRunner::with_settings(&[], None, SETTINGS);
         for _ in 0..workers {
             let address = runner.gearman;
             std::thread::spawn(move || {
-                run_gearman_echo_worker(address, Duration::from_micros(takes_us));
+                run_gearman_echo_worker(address, Duration::from_micros(execution_us));
             });
         }
         let mut client = Peer::new(TcpStream::connect(runner.gearman)?);
-        let mut times = Histogram::<u64>::new(3)?;
-        // Jobs are created in the order in which they were submitted; their ends name the handle.
-        let mut sent = VecDeque::new();
-        let mut open = std::collections::HashMap::new();
+        let mut latencies = Histogram::<u64>::new(3)?;
+        // JOB_CREATED packets arrive in the order of submission and assign the job handles, by
+        // which later packets identify the jobs.
+        let mut awaiting_handle = VecDeque::new();
+        let mut in_flight = std::collections::HashMap::new();
         let (start, mut submitted, mut ended, mut served) = (Instant::now(), 0, 0, 0u64);
         while ended < jobs {
-            while submitted < jobs && submitted - ended < at_a_time {
+            while submitted < jobs && submitted - ended < concurrent {
                 let function = ["rate-push", "booking-import"][submitted % 2];
                 client.send(&format!("[SUBMIT_JOB {function}||job {submitted}]"));
-                sent.push_back(Instant::now());
+                awaiting_handle.push_back(Instant::now());
                 submitted += 1;
             }
             let (name, parts) = client.read_packet()?;
             match name.as_str() {
-                "JOB_CREATED" => drop(sent.pop_front().map(|at| open.insert(parts[0].clone(), at))),
+                "JOB_CREATED" => drop(
+                    awaiting_handle
+                        .pop_front()
+                        .map(|submitted_at| in_flight.insert(parts[0].clone(), submitted_at)),
+                ),
                 "WORK_COMPLETE" | "WORK_FAIL" => {
                     ended += 1;
                     served += u64::from(name == "WORK_COMPLETE");
-                    if let Some(at) = open.remove(&parts[0]) {
-                        times.record(at.elapsed().as_micros() as u64)?;
+                    if let Some(submitted_at) = in_flight.remove(&parts[0]) {
+                        latencies.record(submitted_at.elapsed().as_micros() as u64)?;
                     }
                 }
                 _ => {}
             }
         }
-        let took = start.elapsed().as_secs_f64();
+        let total_seconds = start.elapsed().as_secs_f64();
         let ms = |us: u64| us as f64 / 1_000.0;
         println!(
-            "{workers:7}  {at_a_time:9}  {jobs:5}  {:8.1}  {served:6}  {:7.0}  {:7.2}  {:7.2}  {:7.2}",
-            ms(takes_us),
-            jobs as f64 / took,
-            ms(times.value_at_quantile(0.5)),
-            ms(times.value_at_quantile(0.99)),
-            ms(times.max()),
+            "{workers:7}  {concurrent:10}  {jobs:5}  {:8.1}  {served:6}  {:7.0}  {:7.2}  {:7.2}  {:7.2}",
+            ms(execution_us),
+            jobs as f64 / total_seconds,
+            ms(latencies.value_at_quantile(0.5)),
+            ms(latencies.value_at_quantile(0.99)),
+            ms(latencies.max()),
         );
     }
     Ok(())
--- a/crates/net/tests/frontends_under_load.rs
+++ b/crates/net/tests/frontends_under_load.rs
@@ -1,4 +1,7 @@
-//! Many jobs over both frontends, on loopback: all are served, and no import runs twice.
+//! Many jobs over both frontends on loopback: all are served, and no import runs twice.
+//!
+//! A push is a job of the idempotent class `rate-push`, an import one of the non-idempotent class
+//! `booking-import`.
 
 use pumiceway_test_support::{Peer, ScenarioRunner, run_gearman_echo_worker};
 use std::collections::BTreeMap;
@@ -6,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-// At a new site no job may be shed because of a wrong estimate: users of Gearman expect it to be
+// At a new site, no job may be shed because of a wrong estimate: users of Gearman expect jobs to be
 // queued.
 #[test]
 fn a_thousand_short_jobs_fifty_at_a_time_on_four_workers_are_all_served() {
@@ -42,8 +45,8 @@
     }
 }
 
-/// Submits a job over either protocol, and retries for as long as it gets overload responses.
-/// Returns whether the job was served.
+/// Submits a job over HTTP or Gearman, and retries while it gets overload responses. Returns
+/// whether the job was served.
 fn submit_until_ended(runner: &ScenarioRunner, gearman: bool, id: &str, class: &str) -> bool {
     let address = if gearman { runner.gearman } else { runner.http };
     let mut client = Peer::new(TcpStream::connect(address).unwrap());
@@ -61,7 +64,8 @@
                 }
             }
         } else {
-            // As long as the class allows: a shorter time is taken for that of a retry.
+            // The deadlines of the classes. A shorter remaining time would mark the request as a
+            // retry.
             let remaining_ms = if class == "rate-push" { 5000 } else { 6000 };
             client.send(&format!("POST /{class}/k {id}.{retry} {remaining_ms} {id}"));
             let response = client.read_message().unwrap();
@@ -75,20 +79,20 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("{id}: overload responses for too long");
+    panic!("{id}: still overloaded after 400 retries");
 }
 
 /// Counts the runs of each job.
 #[derive(Default)]
 struct RunCounts {
-    /// By job: its runs on HTTP endpoints, and on Gearman workers.
+    /// For each job, its runs on HTTP endpoints and on Gearman workers.
     counts: Mutex<BTreeMap<String, [u32; 2]>>,
     changed: Condvar,
 }
 
 impl RunCounts {
-    /// Waits until so many jobs of a round have started, or for two seconds: one of them may have
-    /// to be retried.
+    /// Waits until this many jobs of a round have started, but at most two seconds, because one of
+    /// them may have to be retried first.
     fn wait_for_started(&self, round: &str, jobs: usize) {
         let is_of_round = |id: &str| round_of(id) == Some(round);
         let fewer = |counts: &mut BTreeMap<String, _>| {
@@ -103,13 +107,13 @@
     }
 }
 
-/// The round that the id of a job names.
+/// Extracts the round from the id of a job.
 fn round_of(id: &str) -> Option<&str> {
     id.rsplit('-').nth(2)
 }
 
-/// Counts a run of a job, and waits until all jobs of its round have started, so that each needs a
-/// worker of its own. Returns whether the job completes: otherwise its worker disconnects at once.
+/// Counts a run of a job, and waits until all jobs of its round have started, so that each occupies
+/// a worker of its own. Returns whether the job completes; if not, the worker disconnects at once.
 fn run_job(runs: &RunCounts, job: &str, gearman: bool) -> bool {
     let count = {
         let mut all = runs.counts.lock().unwrap();
@@ -125,7 +129,8 @@
     true
 }
 
-/// A Gearman worker that counts what it runs, and disconnects during each job whose id says so.
+/// A Gearman worker that counts its runs, and disconnects during the first run of a job whose id
+/// contains `drop`.
 fn gearman_worker(address: SocketAddr, runs: Arc<RunCounts>) {
     loop {
         let Ok(stream) = TcpStream::connect(address) else {
@@ -152,7 +157,7 @@
     }
 }
 
-/// An HTTP endpoint that does the same.
+/// An HTTP endpoint that behaves like [`gearman_worker`].
 fn http_endpoint(listener: TcpListener, runs: Arc<RunCounts>) {
     for stream in listener.incoming() {
         let runs = runs.clone();
@@ -173,7 +178,8 @@
     }
 }
 
-// Jobs of either protocol run on either kind of worker, whatever disconnects and whoever retries.
+// Jobs of both protocols must run on both kinds of workers, even if workers disconnect and clients
+// retry.
 #[test]
 fn both_protocols_get_equal_service_and_no_import_runs_twice() {
     let mut runner = ScenarioRunner::new(&["w1", "w2"]);
@@ -190,7 +196,8 @@
     let mut served = [[0; 2]; 2];
     for round in 0..12 {
         let drops = if round % 4 == 3 { "drop" } else { "" };
-        // The frontends take turns in submitting first, with all workers idle.
+        // The clients of the two frontends alternate in submitting first, while all workers are
+        // idle.
         let gearman_first = round % 2 == 1;
         std::thread::scope(|scope| {
             let jobs = [
@@ -207,8 +214,7 @@
                 let id = format!("{class}-{round}-{gearman}-{drops}");
                 let job = scope.spawn(move || {
                     let served = submit_until_ended(runner, gearman, &id, class);
-                    // A Gearman client that submits the same unique id again gets the same
-                    // response.
+                    // A Gearman client that submits a unique id again gets the same response.
                     assert!(
                         !gearman || submit_until_ended(runner, gearman, &id, class) == served,
                         "{id}"
@@ -222,7 +228,7 @@
             }
         });
     }
-    // A push is retried; an import whose worker has disconnected fails: 3 of 12 on each frontend.
+    // Pushes are retried, and imports whose worker disconnects fail: 3 of 12 on each frontend.
     assert_eq!(served, [[12, 9], [12, 9]]);
     let runs = runs.counts.lock().unwrap();
     let imports: Vec<_> = runs
@@ -232,7 +238,7 @@
     let twice: Vec<_> = imports.iter().filter(|(_, n)| n[0] + n[1] > 1).collect();
     assert!(twice.is_empty(), "imports that ran twice: {twice:?}");
     assert_eq!(imports.len(), 24);
-    // Jobs of either protocol ran on either kind of worker.
+    // Jobs of both protocols ran on both kinds of workers.
     for client in ["-true-", "-false-"] {
         for worker in [0, 1] {
             assert!(
--- a/crates/net/tests/http_attempts.rs
+++ b/crates/net/tests/http_attempts.rs
@@ -1,11 +1,15 @@
-//! Attempts at endpoints over HTTP: retries, hedging, cancellation and malformed responses, on
-//! loopback.
+//! Attempts at endpoints over HTTP on loopback: retries, hedging, cancellation and malformed
+//! responses.
+//!
+//! A push is a job of the idempotent class `rate-push`, an import one of the non-idempotent class
+//! `booking-import`.
 
 use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 
-// The connection breaks after the last byte of the request was sent, so the import may have run.
+// The connection is closed after the whole request was sent, so the job may have run. Only a push
+// may be sent again.
 #[test]
-fn an_import_whose_connection_breaks_fails_and_a_push_is_retried() {
+fn an_import_whose_connection_is_closed_fails_and_a_push_is_retried() {
     ScenarioRunner::run(
         &["w1", "w2"],
         "c send POST /booking-import/k i1 5000 x
@@ -27,10 +31,11 @@
     );
 }
 
-// An endpoint that drops idle connections when they are reused must not cost one import after the
-// other.
+// An import fails if its reused connection is lost. After a reused connection was lost, imports are
+// sent on new ones, so that an endpoint that closes idle connections does not fail one import after
+// the other.
 #[test]
-fn an_import_gets_a_new_connection_once_an_idle_one_was_found_dead() {
+fn an_import_gets_a_new_connection_after_a_reused_one_was_lost() {
     ScenarioRunner::run(
         &["w1", "w2"],
         "c send POST /rate-push/k t1 5000 x
@@ -88,7 +93,8 @@
     );
 }
 
-// After a plain 503 the import may have run: an overload response would invite a retry.
+// After a 503 without a rejection header the import may have run. An overload response to the
+// client would invite a retry.
 #[test]
 fn an_import_with_an_error_or_a_malformed_line_fails() {
     for response in [
@@ -107,7 +113,7 @@
     }
 }
 
-// hyper alone notices the disconnect only at the next line of the response.
+// hyper alone would notice the disconnect only when more of the response arrives.
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     ScenarioRunner::run(
@@ -134,10 +140,10 @@
     );
 }
 
-// A second last line must not be taken for the response to the next job.
+// A second final line must not be taken for the response to the next job.
 #[test]
-fn what_an_endpoint_sends_after_its_last_line_is_ignored() {
-    let last_line = r#"a send + {"id":"t1","from":"w1","state":"done","result":"1"}"#;
+fn data_after_the_final_line_is_ignored() {
+    let final_line = r#"a send + {"id":"t1","from":"w1","state":"done","result":"1"}"#;
     ScenarioRunner::run(
         &["w1"],
         &format!(
@@ -145,8 +151,8 @@
              w1 wait a
              a expect POST /rate-push/k t1
              a send 200
-             {last_line}
-             {last_line}
+             {final_line}
+             {final_line}
              c expect 200 1
              c send POST /booking-import/k t2 5000 x
              w1 wait b
--- a/crates/net/tests/http_connections/client_disconnects.rs
+++ b/crates/net/tests/http_connections/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, or send more, while their request waits for a response.
+//! Clients that disconnect, or send excess bytes, while their request waits for a response.
 
 use crate::sockets::{
     CHUNKED_REQUEST, read_to_end, request, send_filler, send_filler_and_end, wait_for_bytes,
@@ -11,12 +11,12 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-// While the parser has unread bytes behind a request, it does not look for the end of the
-// connection, and the job would go on for nobody.
+// While the parser holds bytes after a request, it does not detect the end of the connection, and
+// the job would run on although its client is gone.
 #[test]
 fn a_client_that_sends_excess_bytes_and_closes_has_disconnected() {
     let requests_and_excess = [
-        // Both are received in one read, and the parser keeps the rest.
+        // Both are received in one read, and the parser buffers the second request.
         (
             format!("{CHUNKED_REQUEST}GET /-/ready HTTP/1.1\r\n\r\n"),
             "",
@@ -68,9 +68,9 @@
     frontend.shut_down();
 }
 
-// A flood must neither fill the memory, nor delay other clients, nor hide the disconnect.
+// A flood must not fill the memory, delay other clients, or hide the disconnect.
 #[test]
-fn a_flood_behind_a_request_ends_its_connection_and_affects_no_other() {
+fn a_flood_after_a_request_ends_its_connection_and_affects_no_other() {
     let mut frontend = TestFrontend::start(4, 1);
     let mut flooder = frontend.connect();
     flooder.write_all(request("t1", "x").as_bytes()).unwrap();
@@ -78,7 +78,8 @@
     let flood_failed = std::thread::spawn(move || send_filler(&flooder, 64 << 20).is_err());
     let mut other = frontend.connect();
     other.write_all(request("t2", "x").as_bytes()).unwrap();
-    // In either order: the flood ends once the limit of discarded bytes is reached.
+    // The flood ends once the limit of discarded bytes is reached, which may be before or after the
+    // second request.
     let mut messages = [frontend.next_message(), frontend.next_message()];
     messages.sort_by_key(|message| matches!(message, Some(LoopMessage::Event(_))));
     let [
@@ -90,7 +91,7 @@
         Some(LoopMessage::Event(Event::ClientDisconnected { handle })),
     ] = messages
     else {
-        panic!("not a request and a disconnect");
+        panic!("expected one request and one disconnect");
     };
     assert_eq!((request.job.id.as_str(), handle), ("t2", first.handle));
     second.send(ClientResponse::Served("2".into())).unwrap();
@@ -103,16 +104,16 @@
     );
 }
 
-// Such bytes must not be taken for the next request, nor cause a reset that discards the response.
+// Excess bytes must not be taken for the next request or cause a reset that discards the response.
 #[test]
-fn bytes_behind_a_request_are_discarded_and_its_response_can_be_read() {
+fn bytes_after_a_request_are_discarded_and_its_response_can_be_read() {
     let mut frontend = TestFrontend::start(4, 1);
     let mut stream = frontend.connect();
     stream.write_all(request("t1", "x").as_bytes()).unwrap();
     let submitted = frontend.next_request();
     stream.write_all(request("t2", "x").as_bytes()).unwrap();
     send_filler(&stream, 1 << 20).unwrap();
-    // What the frontend reads after the response may be the next request.
+    // Bytes that the frontend reads after the response would count as the next request.
     wait_until_all_is_read(&stream);
     submitted
         .response
--- a/crates/net/tests/http_connections/final_responses.rs
+++ b/crates/net/tests/http_connections/final_responses.rs
@@ -1,4 +1,4 @@
-//! The response that a client gets when its connection is closed before a request is complete.
+//! Final responses on connections that are closed before a request is complete.
 
 use crate::sockets::{
     TEST_TIMEOUT, assert_overloaded, connect, read_to_end, request, send_filler_and_end,
@@ -9,11 +9,12 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-// A request that arrives after the close must not cause a reset that discards the response.
+// A request that arrives after the frontend has closed its side must not cause a reset, which would
+// discard the response.
 #[test]
 fn a_client_over_the_limit_can_read_the_overload_response_whenever_it_sends_its_request() {
-    // One is served, four have a spare permit, and three have none: no other connection is old
-    // enough to be evicted for them.
+    // One connection is served, four have a spare permit, and three have none, because no other
+    // connection is old enough to be evicted for them.
     let mut streams = Vec::new();
     let mut frontend = TestFrontend::start_after(1, 4, |address, _| {
         streams.extend((0..8).map(|_| connect(address)));
@@ -45,7 +46,7 @@
         let text = read_to_end(&slow);
         assert!(text.starts_with("HTTP/1.1 408 "), "{part:?}: {text:?}");
     }
-    // New connections evict one that has been without a whole request for long enough.
+    // New connections evict the one that has been without a complete request for long enough.
     let evicted = frontend.connect();
     (&evicted).write_all(partial.as_bytes()).unwrap();
     let mut others = Vec::new();
--- a/crates/net/tests/http_connections/main.rs
+++ b/crates/net/tests/http_connections/main.rs
@@ -1,5 +1,5 @@
-//! How client connections of the HTTP frontend end, on loopback. Each test plays the core behind
-//! the frontend, so that it decides the order of events, and advances the frontend's clock.
+//! Tests of how client connections of the HTTP frontend end, on loopback. Each test takes the place
+//! of the core, so that it controls the order of events, and advances the frontend's clock.
 
 mod client_disconnects;
 mod final_responses;
--- a/crates/net/tests/http_connections/response_bytes.rs
+++ b/crates/net/tests/http_connections/response_bytes.rs
@@ -1,4 +1,4 @@
-//! Responses, byte by byte apart from their date, and the times at which timeouts cause them.
+//! The exact bytes of responses, except for their date, and the exact times of timeout responses.
 
 use crate::sockets::{
     CHUNKED_REQUEST, connect, read_to_end, request, wait_for_bytes, wait_until_all_is_read,
@@ -11,13 +11,13 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Time after which an incomplete body is answered with an error.
+/// Time after which an incomplete body gets an error response.
 const BODY_TIMEOUT: Duration = Duration::from_millis(1_800);
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// The headers that each request needs.
+/// The headers that every request needs.
 const REQUIRED: &str = "X-Txn: t1\r\nX-Remaining-Ms: 5000\r\n";
 
-/// A frontend with a tenant, and with a class whose jobs need an idempotency key.
+/// A frontend whose settings have a tenant, and a class that requires an idempotency key.
 fn frontend_with_tenant() -> TestFrontend {
     let tenant = r#""rules":{},"tenants":[{"name":"acme","quota-per-s":9}]"#;
     let settings = SETTINGS.replacen(r#""rules":{}"#, tenant, 1).replacen(
@@ -37,7 +37,7 @@
     format!("POST /rate-push/k HTTP/1.1\r\n{REQUIRED}{headers}\r\n{body}")
 }
 
-/// Reads to the end of the stream, and leaves out the date.
+/// Reads to the end of the stream and removes the `date` header.
 fn read_without_date(stream: &TcpStream) -> String {
     let text = read_to_end(stream);
     text.split_inclusive("\r\n")
@@ -45,14 +45,14 @@
         .collect()
 }
 
-/// The response to a request that is not submitted.
+/// Sends a request that is not submitted to the core. Returns the response.
 fn response_to(frontend: &TestFrontend, request: &[u8]) -> String {
     let mut stream = connect(frontend.address);
     stream.write_all(request).unwrap();
     read_without_date(&stream)
 }
 
-/// A response with a text, after which the connection is closed.
+/// An error response with a text, after which the connection is closed.
 fn error_response(status: &str, text: &str) -> String {
     let length = text.len();
     format!(
@@ -132,7 +132,7 @@
     frontend.expect_no_message();
 }
 
-/// Submits a request on a connection of its own, which is closed after the response.
+/// Submits a request on a new connection, which is closed after the response.
 fn submit(frontend: &mut TestFrontend, headers: &str) -> (TcpStream, SubmittedRequest) {
     let mut stream = frontend.connect();
     let request = post(
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_request_is_submitted_with_what_its_head_says() {
+fn a_request_is_submitted_with_the_values_of_its_head() {
     let mut frontend = frontend_with_tenant();
     let day = Duration::from_secs(24 * 60 * 60);
     for (remaining_ms, remaining) in [
--- a/crates/net/tests/http_connections/shutdown.rs
+++ b/crates/net/tests/http_connections/shutdown.rs
@@ -1,4 +1,4 @@
-//! Connections that are open when the frontend is shut down.
+//! Connections that are open or in the backlog when the frontend is shut down.
 
 use crate::sockets::{
     TEST_TIMEOUT, assert_overloaded, connect, read_to_end, request, send_filler_and_end,
@@ -10,7 +10,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-// The operating system has accepted these connections, and would reset them with the listener.
+// The operating system has completed these connections, and would reset them when the listener is
+// closed.
 #[test]
 fn connections_in_the_backlog_at_the_shutdown_get_an_overload_response() {
     let mut streams = Vec::new();
@@ -37,8 +38,8 @@
     frontend.expect_no_message();
 }
 
-// No request may be submitted whose response can no longer be sent, no partial one may be lost with
-// its connection, and no response may be cut short.
+// A request must not be submitted if its response can no longer be sent, a partial request must not
+// be lost with its connection, and a response must not be truncated.
 #[test]
 fn at_the_shutdown_each_connection_gets_the_response_that_is_due() {
     let mut frontend = TestFrontend::start(8, 2);
@@ -52,7 +53,7 @@
     waiting.write_all(request("t1", "x").as_bytes()).unwrap();
     let first = frontend.next_request();
     frontend.close.send(true).unwrap();
-    // The idle one: its stream ends, and a request that arrives later is not submitted.
+    // On the idle connection, the stream ends and a later request is not submitted.
     let mut response = vec![0; "HTTP/1.1 200".len()];
     (&idle).read_exact(&mut response).unwrap();
     let rest = std::thread::spawn(move || {
@@ -61,12 +62,12 @@
         send_filler_and_end(&idle);
         rest
     });
-    // The new one gets an overload response.
+    // The new connection gets an overload response.
     wait_for_bytes(&new);
     (&new).write_all(request("t8", "x").as_bytes()).unwrap();
     send_filler_and_end(&new);
     assert_overloaded(&read_to_end(&new));
-    // The partial one is completed after the shutdown, and served.
+    // The partial request is completed after the shutdown has begun, and is served.
     partial
         .write_all(&text.as_bytes()[text.len() - 1..])
         .unwrap();
@@ -113,22 +114,22 @@
     }
 }
 
-/// The size of the socket buffers on both ends: as small as the operating system allows.
+/// Size of the socket buffers on both ends: as small as the operating system allows.
 const SMALL_BUFFER_BYTES: usize = 4 << 10;
-/// The size of the largest result.
+/// Size of the largest result.
 const MAX_RESULT_BYTES: usize = 64 << 10;
 
 /// A frontend whose socket buffers are much smaller than the largest result.
 fn frontend_with_small_buffers() -> TestFrontend {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    // Accepted sockets inherit it.
+    // Accepted sockets inherit the buffer size.
     socket2::SockRef::from(&listener)
         .set_send_buffer_size(SMALL_BUFFER_BYTES)
         .unwrap();
     TestFrontend::start_on(listener, 8, 2, |_, _| {})
 }
 
-/// A client that receives little before it reads.
+/// A client whose receive buffer is small.
 fn connect_with_small_buffer(address: SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
@@ -138,8 +139,8 @@
     stream
 }
 
-/// A client whose response is partially written: it has received the head, and the socket buffers
-/// are smaller than the rest.
+/// A client whose response is partially written: the client has received the head, and the socket
+/// buffers are smaller than the rest.
 fn client_with_partial_response(frontend: &mut TestFrontend, id: &str, result: &str) -> TcpStream {
     let mut stream = connect_with_small_buffer(frontend.address);
     stream.write_all(request(id, "x").as_bytes()).unwrap();
@@ -152,13 +153,13 @@
     stream
 }
 
-/// When a client pauses its reading.
+/// When a client pauses reading its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Pause {
     Never,
     /// For longer than the linger timeout, while the response is partially written.
     BeforeReading,
-    /// Until the frontend has ended, with the end of the response in the socket buffers.
+    /// Until the frontend has ended, while the end of the response is in the socket buffers.
     BeforeTheEnd,
 }
 
@@ -169,10 +170,13 @@
         let mut frontend = frontend_with_small_buffers();
         let mut stream = client_with_partial_response(&mut frontend, "t1", &result);
         frontend.close.send(true).unwrap();
-        // The shutdown has begun once new connections are refused.
+        // Once new connections are refused, the shutdown has begun.
         let shutdown_at = Instant::now();
         while TcpStream::connect(frontend.address).is_ok() {
-            assert!(shutdown_at.elapsed() < TEST_TIMEOUT, "it does not close");
+            assert!(
+                shutdown_at.elapsed() < TEST_TIMEOUT,
+                "the listener is not closed"
+            );
             std::thread::sleep(Duration::from_millis(1));
         }
         if pause == Pause::BeforeReading {
@@ -180,7 +184,7 @@
             frontend.advance_clock(Duration::ZERO);
             assert!(
                 !frontend.thread.as_ref().unwrap().is_finished(),
-                "it ended with a partially written response"
+                "the frontend ended with a partially written response"
             );
         }
         let (mut text, mut buffer) = (Vec::new(), [0; 512]);
@@ -230,7 +234,7 @@
         .unwrap();
     assert!(read_to_end(&reader).ends_with("\r\n\r\n2"));
     drop(reader);
-    // Ten seconds to take the response, and one to linger.
+    // The response timeout of 10 s, and then the linger timeout of 1 s.
     for (time, ends) in [(9_900, false), (200, false), (700, false), (400, true)] {
         frontend.advance_clock(Duration::from_millis(time));
         frontend.advance_clock(Duration::ZERO);
--- a/crates/net/tests/http_connections/sockets.rs
+++ b/crates/net/tests/http_connections/sockets.rs
@@ -1,10 +1,10 @@
-//! Client sockets, and the requests and bytes that the tests send on them.
+//! Client sockets, and helpers that send and receive on them.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for something that should happen.
+/// How long a test waits for an expected event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
 const OVERLOADED_STATUS: &str = "HTTP/1.1 503 ";
 
@@ -25,21 +25,21 @@
     stream
 }
 
-/// Waits until this holds.
-pub fn wait_until(otherwise: &str, holds: impl Fn() -> bool) {
+/// Waits until `condition` holds. Panics with `failure` on a timeout.
+pub fn wait_until(failure: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "{otherwise}");
+    while !condition() {
+        assert!(Instant::now() < end, "{failure}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// What the operating system knows of one end of a connection.
+/// The state of one end of a connection, according to the operating system.
 struct SocketState {
     tcp_state: u8,
-    /// Bytes that the other end has not acknowledged.
+    /// Sent bytes that the other end has not acknowledged.
     unacknowledged: u32,
-    /// Bytes that were received and not read.
+    /// Received bytes that the application has not read.
     unread: u32,
 }
 
@@ -58,10 +58,10 @@
     })
 }
 
-/// Waits until the frontend has read all that was sent.
+/// Waits until the frontend has read all bytes that were sent.
 pub fn wait_until_all_is_read(stream: &TcpStream) {
     let (client, frontend) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
-    wait_until("the frontend does not read", || {
+    wait_until("the frontend has not read all bytes", || {
         matches!(
             (
                 socket_state(client, frontend),
@@ -78,17 +78,17 @@
     });
 }
 
-/// Waits until the client has received the end of the frontend's stream, without reading.
+/// Waits until the client has received the end of the frontend's stream. Reads nothing.
 pub fn wait_until_end_is_received(stream: &TcpStream) {
     const CLOSE_WAIT: u8 = 8;
     let (client, frontend) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
-    wait_until("the frontend does not close", || {
+    wait_until("the end of the stream is not received", || {
         socket_state(client, frontend).is_some_and(|socket| socket.tcp_state == CLOSE_WAIT)
     });
 }
 
-/// Waits until the frontend has ended its stream, whether or not the client has space to receive
-/// the last bytes of it.
+/// Waits until the frontend has ended its stream, even if the client has no buffer space for the
+/// last bytes.
 pub fn wait_until_end_is_sent(stream: &TcpStream) {
     const FIN_WAIT: [u8; 2] = [4, 5];
     let (client, frontend) = (stream.local_addr().unwrap(), stream.peer_addr().unwrap());
@@ -97,13 +97,13 @@
     });
 }
 
-/// Waits until something was received, and leaves it unread.
+/// Waits until bytes are received, and leaves them unread.
 pub fn wait_for_bytes(stream: &TcpStream) {
     let received = stream.peek(&mut [0]);
     assert!(matches!(received, Ok(1)), "{received:?}");
 }
 
-/// Reads to the end of the stream. A reset is no such end: it may discard what came before it.
+/// Reads to the end of the stream. Panics on a reset, which may discard bytes before it.
 pub fn read_to_end(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     let end = stream.read_to_end(&mut text);
@@ -119,13 +119,13 @@
     );
 }
 
-/// Sends filler for as long as the other end takes it, up to so many bytes.
+/// Sends this many bytes of filler. Fails if the other end resets the connection.
 pub fn send_filler(mut stream: &TcpStream, bytes: usize) -> std::io::Result<()> {
     (0..bytes >> 14).try_for_each(|_| stream.write_all(&[b'x'; 1 << 14]))
 }
 
-/// Sends filler and ends the stream. All of it has to be accepted: a reset for the first part of it
-/// would fail a later one.
+/// Sends filler and ends the stream. Panics if the frontend resets the connection: the reset that
+/// the first bytes cause makes a later write fail.
 pub fn send_filler_and_end(stream: &TcpStream) {
     send_filler(stream, 1 << 20).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
--- a/crates/net/tests/http_connections/test_frontend.rs
+++ b/crates/net/tests/http_connections/test_frontend.rs
@@ -1,4 +1,4 @@
-//! An HTTP frontend without a core, on a thread of its own with a paused clock.
+//! An HTTP frontend without a core, which runs on a thread of its own with a paused clock.
 
 use crate::sockets::{TEST_TIMEOUT, connect, wait_until};
 use pumiceway_core::{ClientRequest, ClientResponse, Event, RequestHandle};
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// A frontend whose messages to the core go to the test.
+/// A frontend whose messages to the event loop are received by the test.
 pub struct TestFrontend {
     pub address: SocketAddr,
     /// Set to shut the frontend down.
@@ -39,12 +39,12 @@
 }
 
 impl TestFrontend {
-    /// Starts a frontend with this many permits.
+    /// Starts a frontend with these numbers of permits.
     pub fn start(inbound: usize, spare: usize) -> TestFrontend {
         TestFrontend::start_after(inbound, spare, |_, _| {})
     }
 
-    /// Starts a frontend that accepts no connection before `before` has returned.
+    /// Like [`start`](Self::start), but accepts no connection until `before` has returned.
     pub fn start_after(
         inbound: usize,
         spare: usize,
@@ -54,7 +54,7 @@
         TestFrontend::start_on(listener, inbound, spare, before)
     }
 
-    /// The same with a listener of the test's own.
+    /// Like [`start_after`](Self::start_after), with a listener that the test has created.
     pub fn start_on(
         listener: std::net::TcpListener,
         inbound: usize,
@@ -64,7 +64,7 @@
         TestFrontend::start_with(SETTINGS, listener, inbound, spare, before)
     }
 
-    /// The same with settings of the test's own.
+    /// Like [`start_on`](Self::start_on), with other settings than [`SETTINGS`].
     pub fn start_with(
         settings: &str,
         listener: std::net::TcpListener,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Advances the frontend's clock; the frontend may end with that.
+    /// Advances the frontend's clock. The frontend may end as a result.
     pub fn advance_clock(&self, by: Duration) {
         let (done, is_done) = channel();
         if self.clock_advances.send(ClockAdvance { by, done }).is_ok() {
@@ -116,7 +116,7 @@
         connect(self.address)
     }
 
-    /// The next message to the core; `None` if there is none in time.
+    /// Waits for the next message to the event loop. Returns `None` on a timeout.
     pub fn next_message(&mut self) -> Option<LoopMessage> {
         let end = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -141,19 +141,19 @@
                 request,
                 response,
             },
-            other => panic!("no request is submitted: {other:?}"),
+            other => panic!("no request was submitted: {other:?}"),
         }
     }
 
-    /// Waits until the core is notified that the client of a request has disconnected.
+    /// Waits for the event that the client of a request has disconnected.
     pub fn expect_disconnected(&mut self, submitted: &SubmittedRequest) {
         match self.next_message() {
             Some(LoopMessage::Event(Event::ClientDisconnected { handle }))
                 if handle == submitted.handle => {}
-            other => panic!("the disconnect is not noticed: {other:?}"),
+            other => panic!("the disconnect was not reported: {other:?}"),
         }
-        // The event is sent before the receiver is dropped.
-        wait_until("the frontend waits for a response", || {
+        // The frontend sends the event before it drops the receiver.
+        wait_until("the frontend still waits for a response", || {
             submitted.response.is_closed()
         });
     }
@@ -165,7 +165,7 @@
 
     /// Shuts the frontend down, and waits until it has ended.
     pub fn shut_down(&mut self) {
-        // It may have ended, if it was shut down before.
+        // Sending fails if the frontend has already ended.
         let _ = self.close.send(true);
         self.wait_for_end();
     }
@@ -187,7 +187,8 @@
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().unwrap();
     runtime.block_on(async {
-        // A paused clock advances by itself when the runtime is idle, unless a blocking task runs.
+        // While the runtime is idle, tokio advances a paused clock to the next timer unless a
+        // blocking task is running.
         let (ended, keep_paused) = channel::<()>();
         tokio::task::spawn_blocking(move || keep_paused.recv().is_err());
         let listener = TcpListener::from_std(listener).unwrap();
--- a/crates/net/tests/http_requests.rs
+++ b/crates/net/tests/http_requests.rs
@@ -1,4 +1,4 @@
-//! HTTP requests of clients, from the request line to the response, on loopback.
+//! HTTP requests of clients on loopback, from the request line to the response.
 
 use pumiceway_test_support::{SETTINGS, ScenarioRunner};
 use std::io::{Read, Write};
@@ -55,8 +55,8 @@
     );
 }
 
-// Another request may hide behind such a request or in its body, and the dispatcher and an endpoint
-// may resolve a contradiction differently.
+// An ambiguous request may hide another one after it or in its body, and the dispatcher and an
+// endpoint may resolve contradictory headers differently.
 #[test]
 fn ambiguous_requests_are_rejected_and_their_connections_closed() {
     let valid_headers = r"X-Txn: t1\r\nX-Remaining-Ms: 5000\r\n";
@@ -97,8 +97,8 @@
     ScenarioRunner::run(&["w1"], &script);
 }
 
-// Partial requests must not hold connections for long, but a client may pause between two requests;
-// and a reset must not discard an early 413.
+// Partial requests must not occupy connections for long, but a client may pause between two
+// requests. An early 413 must not be discarded by a reset.
 #[test]
 fn the_request_timeout_is_short_and_the_idle_timeout_long() {
     let start = std::time::Instant::now();
@@ -114,7 +114,7 @@
         "u send raw {}\nu expect 413\nu expect end\n",
         "x".repeat(1 << 20)
     ));
-    // Before the other two can have timed out.
+    // The requests of `s` and `t` cannot have timed out yet.
     assert!(
         start.elapsed() < Duration::from_millis(1_700),
         "{:?}",
@@ -126,7 +126,8 @@
           t expect 408
           t expect end",
     );
-    // The next longer timeout is 10 s. Exact times are tested where the test advances the clock.
+    // The next longer timeout is 10 s. The exact times are covered by `http_connections`, whose
+    // tests control the clock.
     assert!(
         start.elapsed() < Duration::from_secs(6),
         "{:?}",
@@ -143,7 +144,7 @@
     let settings = format!(r#"{SETTINGS},"limits":{{"sockets":320}}"#);
     let runner = ScenarioRunner::with_settings(&["w1"], None, &settings);
     let partial_request = b"POST /rate-push/k HTTP/1.1\r\nHost: x\r\nX-Txn: t\r\nX-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\nx";
-    // More than there are permits: 65 to be served, and 14 spare ones.
+    // More clients than there are permits: 65 connections are served, and 14 permits are spare.
     let clients: Vec<_> = (0..160)
         .map(|_| {
             let mut client = TcpStream::connect(runner.http).unwrap();
@@ -154,7 +155,8 @@
     let mut overloaded = 0;
     for mut client in clients {
         let mut response = Vec::new();
-        // The connection may be reset after the response, as the rest of the request is not read.
+        // The connection may be reset after the response, because the rest of the request is not
+        // read.
         let _ = client.read_to_end(&mut response);
         let response = String::from_utf8_lossy(&response);
         let is_overload =
@@ -168,9 +170,9 @@
     assert!(overloaded >= 84, "{overloaded}");
 }
 
-// The response is sent at once, and says when to retry.
+// The overload response is sent at once and has a Retry-After header.
 #[test]
-fn a_fully_loaded_fleet_gives_overload_responses() {
+fn a_request_to_a_fully_loaded_fleet_gets_an_overload_response() {
     let settings = SETTINGS.replacen("\"deadline-us\"", "\"wait-us\":300000,\"deadline-us\"", 1);
     let mut runner = ScenarioRunner::with_settings(&["w1"], None, &settings);
     runner.continue_with(
--- a/crates/net/tests/repeats.rs
+++ b/crates/net/tests/repeats.rs
@@ -1,4 +1,5 @@
-//! Repeats on real connections: which jobs are sent again, and what their clients get.
+//! Repeats over connections on loopback: which jobs are sent again, and which responses their
+//! clients get.
 
 use pumiceway_decisions::settings::DeploymentSettings;
 use pumiceway_net::config::SocketBudget;
@@ -9,8 +10,8 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A class of each idempotency. The deduplication window is as short as deployments have it, and a
-/// connection may take half of it to come up.
+/// One class for each kind of repeat semantics. The deduplication window is as short as in any
+/// deployment, and the connect timeout is half of it.
 const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
   "lanes":[{"name":"look","aim-us":3000000,"deadline-us":3000000,"points":1.0,"semantics":"read_like"},
     {"name":"put","aim-us":3000000,"deadline-us":3000000,"points":2.0,"semantics":"idempotency_key",
@@ -19,19 +20,19 @@
   "limits":{"most-tries":3,"cancel":true,"second-copies":false,"retry-after":true,"max-retry-after-us":2000000,
     "connect-timeout-us":400000,"conn-idle-us":15000000},"rules":{}}"#;
 
-/// A request of the class with idempotency keys.
+/// A request of the class `put`, which has idempotency keys.
 fn put(id: &str) -> String {
     format!(
         r"raw POST /put/k HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: 2900\r\nIdempotency-Key: {id}\r\nContent-Length: 0\r\n\r\n"
     )
 }
 
-// A job with an idempotency key would run twice if its repeat is decided on within the window, and
-// its connection comes up after it. The endpoint does not end the first attempt until too
-// little of the window is left.
+// A job with an idempotency key would run twice if its repeat were started within the deduplication
+// window, but its connection were established after the window. The endpoint ends the first attempt
+// when too little of the window is left.
 #[test]
 fn repeat_that_might_arrive_after_the_deduplication_window_is_not_sent() {
-    // Early in the window it is sent: this one is so long that it is early on a slow machine, too.
+    // Early in the window the repeat is sent. This window is long enough for slow machines.
     let long_window = SETTINGS.replace("\"window-us\":800000", "\"window-us\":20000000");
     let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, &long_window);
     runner.continue_with(&format!(
@@ -48,7 +49,7 @@
         put("t2")
     ));
     std::thread::sleep(Duration::from_millis(500));
-    // Its client may try again, and the next request at w2 is that of another client.
+    // The client of t2 is told to retry, and the next request that w2 receives is t3.
     runner.continue_with(&format!(
         "a close\n c expect 503 retry-after\n d send {}\n w2 wait b\n b expect POST /put/k x-txn:\\x20t3
          b send done 3\n d expect 200 3",
@@ -56,7 +57,8 @@
     ));
 }
 
-// The connect timeout is derived once, for those who open connections and those who decide.
+// The decision logic relies on the connect timeout that the connections use, so both must derive
+// the same value from the settings.
 #[test]
 fn decisions_and_connections_have_the_same_connect_timeout() {
     let sockets = SocketBudget {
@@ -93,14 +95,14 @@
     }
 }
 
-/// A request of the non-idempotent class.
+/// A request of the class `pay`, which is not idempotent.
 fn pay(id: &str) -> String {
     format!("POST /pay/k {id} 2900 x")
 }
 
-// A client that sends its request again on a new connection while the first one is in flight is not
-// rejected, and its job runs once. The request of another client, sent after it, has reached an
-// endpoint, so the second one has been read.
+// A client may send its request again on a new connection while the first request is in flight. It
+// must not be rejected, and the job must run once. The test knows that the repeated request was
+// read once the request of another client, which was sent after it, reaches an endpoint.
 #[test]
 fn same_request_on_a_second_connection_gets_the_response_to_the_first() {
     for disconnects in [false, true] {
@@ -122,10 +124,10 @@
     }
 }
 
-// The first connection of the client was closed, and the endpoint has seen the attempt aborted,
-// before the request comes again. Only an idempotent job runs again.
+// The client closes its first connection, and the attempt is aborted, before the client sends the
+// request again. Only an idempotent job may run again.
 #[test]
-fn request_that_comes_again_after_its_abort_runs_only_if_idempotent() {
+fn request_that_is_sent_again_after_its_abort_runs_only_if_idempotent() {
     for (path, is_idempotent) in [("pay", false), ("look", true)] {
         let mut runner = ScenarioRunner::with_settings(&["w1", "w2"], None, SETTINGS);
         let send = |id: &str| format!("POST /{path}/k {id} 2900 x");
@@ -146,12 +148,12 @@
     }
 }
 
-// A request that came after the shutdown began and found no endpoint has not failed: its client may
-// try again elsewhere.
+// A request that is received during the shutdown and finds no endpoint must not fail, because its
+// client may retry it at another dispatcher.
 #[test]
 fn request_that_finds_no_endpoint_during_shutdown_is_shed_with_retry_after() {
-    // The longest deadline that a shutdown waits for: the frontend closes 2 s after it began, and
-    // the test may be late by most of that.
+    // The requests have the longest deadline that a shutdown waits for. The frontend closes 2 s
+    // after the shutdown has begun, so the test may be late by most of that.
     let mut runner = ScenarioRunner::with_settings(&[], None, SETTINGS);
     runner.request_stop();
     std::thread::sleep(Duration::from_millis(700));
@@ -162,9 +164,9 @@
     runner.wait_for_exit();
 }
 
-/// A listener whose queue is full, and the connections that fill it: another one comes up a second
-/// later if they are dropped meanwhile.
-fn full_listener() -> (TcpListener, Vec<TcpStream>) {
+/// A listener with a full backlog, and the connections that fill it. If they are dropped, another
+/// connection is established when its client retransmits the SYN after one second.
+fn listener_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -176,14 +178,14 @@
     });
     let address = listener.local_addr().unwrap();
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-    let queue = std::iter::from_fn(connect).collect();
-    (listener, queue)
+    let backlog = std::iter::from_fn(connect).collect();
+    (listener, backlog)
 }
 
-/// The addresses that attempts were sent to, by the log of this process.
+/// The addresses of all started attempts, according to the log of this process.
 static ATTEMPT_ADDRESSES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-/// Collects [`ATTEMPT_ADDRESSES`] from the log.
+/// A log subscriber that collects [`ATTEMPT_ADDRESSES`].
 struct AttemptLog;
 
 impl tracing::Subscriber for AttemptLog {
@@ -218,10 +220,11 @@
     fn exit(&self, _: &tracing::span::Id) {}
 }
 
-// A connection that was still coming up when its endpoint began to drain carries no request after
-// the grace: the queue of the endpoint is full, and is emptied once the dispatcher has the state.
+// If an endpoint starts to drain while a connection to it is being established, the connection must
+// not carry a request after the drain grace period. The backlog of the endpoint is full, and is
+// emptied once the dispatcher has received the draining state.
 #[test]
-fn nothing_is_written_on_a_connection_that_comes_up_after_the_drain_grace() {
+fn nothing_is_written_on_a_connection_established_after_the_drain_grace() {
     tracing::subscriber::set_global_default(AttemptLog).unwrap();
     for drain_grace_us in [100_000, 500_000] {
         let settings = SETTINGS
@@ -231,13 +234,13 @@
             )
             .replace(
                 "\"rules\":{}",
-                // Where lists are polled, a call that the test is slow to answer is waited for.
+                // With polling, the dispatcher would wait for a call that the test answers late.
                 &format!(
                     "\"rules\":{{\"drain-grace-us\":{drain_grace_us}}},\"discovery\":\"subscribe\""
                 ),
             );
         let mut runner = ScenarioRunner::with_settings(&["discovery"], None, &settings);
-        let (listener, queue) = full_listener();
+        let (listener, backlog) = listener_with_full_backlog();
         let port = listener.local_addr().unwrap().port();
         let list = |version, status| {
             format!(
@@ -260,12 +263,12 @@
             );
             std::thread::sleep(Duration::from_millis(1));
         }
-        // Once the event loop has handled the next list, the connection is coming up.
+        // The connection is still being established when the event loop has handled the next list.
         runner.continue_with(&list(3, "draining"));
         runner.wait_until_listed("w9", "Draining");
-        drop(queue);
-        // A connection that comes up within the grace may be used; the kernel tries again after a
-        // second.
+        drop(backlog);
+        // A connection that is established within the grace period may be used, but the kernel
+        // retransmits the SYN only after a second.
         listener.set_nonblocking(true).unwrap();
         let end = Instant::now() + Duration::from_millis(1_400);
         while Instant::now() < end {
