--- a/crates/net/src/frontend/admission/tests.rs
+++ b/crates/net/src/frontend/admission/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the framing checks and of the admission of connections.
+
 use super::connection::ConnectionPhase;
 use super::framing::MessageFraming;
 use super::*;
--- a/crates/net/src/upstream/client.rs
+++ b/crates/net/src/upstream/client.rs
@@ -191,7 +191,7 @@
                     endpoint = self.endpoint,
                     outcome = outcome.as_str(),
                     reason = failure::describe(&error),
-                    "attempt failed: unusable response"
+                    "attempt failed: its response cannot be used"
                 );
                 self.connection.close();
                 self.end(outcome, None);
@@ -214,7 +214,7 @@
             endpoint = self.endpoint,
             outcome = outcome.as_str(),
             reason = failure::describe(error),
-            "attempt failed before a response was received"
+            "attempt failed before its response"
         );
         self.end(outcome, None);
     }
