--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,69 +1,69 @@
-//! What can be wrong with the simulator's input.
+//! The errors of the adapter.
 
 use pumiceway_decisions::api::SettingsError;
 use pumiceway_decisions::settings::DeploymentSettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ends.
+/// Why the adapter stops.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Standard input failed.
-    #[error("reading line {number}: {source}")]
-    Read { number: u64, source: io::Error },
-    /// Standard output failed.
-    #[error("writing reply {number}: {source}")]
-    Write { number: u64, source: io::Error },
-    /// A line cannot be used.
-    #[error("line {number}: {source}")]
-    Line { number: u64, source: BatchError },
+    /// Standard input cannot be read.
+    #[error("cannot read line {line}: {source}")]
+    Read { line: u64, source: io::Error },
+    /// The reply to a line cannot be written to standard output.
+    #[error("cannot write the reply to line {line}: {source}")]
+    Write { line: u64, source: io::Error },
+    /// The batch on a line cannot be handled.
+    #[error("line {line}: {source}")]
+    Batch { line: u64, source: BatchError },
 }
 
-/// Why a batch cannot be used.
+/// Why a batch cannot be handled.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// It is not of the wire's form.
-    #[error("not a batch: {0}")]
+    /// It is not valid JSON, or not a batch of events.
+    #[error("invalid batch: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// An event is for an instance that was not started.
+    /// An event is for an instance that is not running.
     #[error("event for unknown instance {0}")]
     UnknownInstance(u64),
-    /// The same for a shutdown.
+    /// A shutdown is for an instance that is not running.
     #[error("shutdown of unknown instance {0}")]
     ShutdownOfUnknownInstance(u64),
-    /// An event of an instance cannot be used.
+    /// An event of a running instance, or its start, cannot be handled.
     #[error("instance {instance}: {source}")]
     Event { instance: u64, source: EventError },
     /// The reply cannot be written as JSON.
-    #[error("reply: {0}")]
+    #[error("cannot encode the reply: {0}")]
     Reply(#[source] serde_json::Error),
 }
 
-/// Why an event cannot be used.
+/// Why an event cannot be handled.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The settings document cannot be used.
+    /// The settings document is invalid.
     #[error(transparent)]
     DeploymentSettings(#[from] DeploymentSettingsError),
-    /// The settings cannot work.
+    /// The balancer rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The settings name no such class.
+    /// The class is not in the settings.
     #[error("unknown class {0}")]
     UnknownClass(String),
-    /// No list has named such an endpoint, which the wire calls a worker.
+    /// The endpoint has been in no endpoint list. The wire calls an endpoint a worker.
     #[error("unknown worker {0}")]
     UnknownEndpoint(String),
-    /// The settings name no such zone.
+    /// The zone is not in the settings.
     #[error("unknown zone {0}")]
     UnknownZone(String),
-    /// The settings name no such machine kind.
+    /// The machine kind is not in the settings.
     #[error("unknown kind {0}")]
     UnknownKind(String),
-    /// A new request has the name of an open one.
-    #[error("request {0} came twice")]
-    RequestTwice(String),
-    /// An action names a request that is over: a fault of the decisions.
-    #[error("an action names an ended request")]
+    /// A new request has the id of an open one.
+    #[error("duplicate request {0}")]
+    DuplicateRequest(String),
+    /// The balancer returned an action for a request that has ended, which is a bug in it.
+    #[error("the balancer returned an action for a request that has ended")]
     EndedRequest,
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/instances.rs
@@ -1,8 +1,9 @@
-//! The instances of a simulation, one balancer each: wire events in, wire orders out.
+//! The dispatcher instances of a simulation. Each has a balancer, which handles its events and
+//! returns its actions.
 
 use crate::error::{BatchError, EventError};
-use crate::names::Names;
-use crate::wire::{self, Order};
+use crate::name_table::NameTable;
+use crate::wire;
 use pumiceway_decisions::Balancer;
 use pumiceway_decisions::api::{
     Action, AttemptProgress, AttemptResult, ClassId, Event, HealthCheckResult, IncomingRequest,
@@ -11,62 +12,62 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All instances, by the number that the wire gives them.
+/// The running instances, by their number on the wire.
 #[derive(Default)]
-pub struct Host {
-    instances: BTreeMap<u64, Instance>,
+pub struct Instances {
+    by_number: BTreeMap<u64, Instance>,
 }
 
 struct Instance {
     number: u64,
     balancer: Balancer,
-    names: Names,
-    /// Number of the timer that was set last; any other has been replaced.
-    timer: u64,
+    names: NameTable,
+    /// The number of the timer that was set last, which replaced all earlier ones.
+    latest_timer: u64,
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// Handles one batch and appends the reply.
+impl Instances {
+    /// Handles a batch and appends the reply to `reply`.
     pub fn handle_batch(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<(), BatchError> {
         let batch: wire::Batch = serde_json::from_str(line).map_err(BatchError::Malformed)?;
         let now = Timestamp::from_micros(batch.now_us);
-        let mut orders = Vec::new();
+        let mut actions = Vec::new();
         for event in &batch.events {
-            self.handle_event(now, event, &mut orders)?;
+            self.handle_event(now, event, &mut actions)?;
         }
-        serde_json::to_writer(reply, &wire::Reply { orders }).map_err(BatchError::Reply)
+        serde_json::to_writer(reply, &wire::Reply { actions }).map_err(BatchError::Reply)
     }
 
     fn handle_event(
         &mut self,
         now: Timestamp,
         event: &wire::Event,
-        orders: &mut Vec<Order>,
+        actions: &mut Vec<wire::Action>,
     ) -> Result<(), BatchError> {
         let number = event.instance();
-        let in_instance = |source| BatchError::Event {
+        let event_error = |source| BatchError::Event {
             instance: number,
             source,
         };
         match event {
             wire::Event::Start(start) => {
-                self.instances
-                    .insert(number, Instance::start(start).map_err(in_instance)?);
+                self.by_number
+                    .insert(number, Instance::start(start).map_err(event_error)?);
             }
             wire::Event::Shutdown(_) => {
-                self.instances
+                self.by_number
                     .remove(&number)
                     .ok_or(BatchError::ShutdownOfUnknownInstance(number))?;
             }
             _ => {
                 let instance = self
-                    .instances
+                    .by_number
                     .get_mut(&number)
                     .ok_or(BatchError::UnknownInstance(number))?;
                 instance
-                    .handle_event(now, event, orders)
-                    .map_err(in_instance)?;
+                    .handle_event(now, event, actions)
+                    .map_err(event_error)?;
             }
         }
         Ok(())
@@ -76,12 +77,12 @@
 impl Instance {
     fn start(start: &wire::Start) -> Result<Instance, EventError> {
         let balancer = Balancer::new(start.settings.to_settings()?, start.seed)?;
-        let names = Names::new(start.settings.clone());
+        let names = NameTable::new(start.settings.clone());
         Ok(Instance {
             number: start.instance,
             balancer,
             names,
-            timer: 0,
+            latest_timer: 0,
             actions: Vec::new(),
         })
     }
@@ -90,15 +91,15 @@
         &mut self,
         now: Timestamp,
         event: &wire::Event,
-        orders: &mut Vec<Order>,
+        actions: &mut Vec<wire::Action>,
     ) -> Result<(), EventError> {
         match event {
             wire::Event::EndpointList(list) => self.on_list(now, list)?,
             wire::Event::RequestArrived(request) => self.on_request(now, request)?,
             wire::Event::AttemptProgressed(progress) => self.on_progress(now, progress)?,
             wire::Event::AttemptEnded(result) => self.on_attempt_ended(now, result)?,
-            wire::Event::ClientDisconnected(gone) => {
-                self.on_client_disconnected(now, &gone.request);
+            wire::Event::ClientDisconnected(disconnected) => {
+                self.on_client_disconnected(now, &disconnected.request);
             }
             wire::Event::TimerFired(fired) => self.on_timer(now, fired.timer),
             wire::Event::HealthChecked(result) => self.on_health_checked(now, result)?,
@@ -108,9 +109,9 @@
             | wire::Event::Shutdown(_) => {}
         }
         for action in std::mem::take(&mut self.actions) {
-            orders.push(self.order(action)?);
+            actions.push(self.convert_action(action)?);
         }
-        self.names.forget_ended_requests();
+        self.names.remove_ended_requests();
         Ok(())
     }
 
@@ -121,7 +122,7 @@
     fn on_list(&mut self, now: Timestamp, list: &wire::EndpointList) -> Result<(), EventError> {
         let mut entries = Vec::with_capacity(list.entries.len());
         for entry in &list.entries {
-            entries.push(self.names.entry(entry)?);
+            entries.push(self.names.endpoint_entry(entry)?);
         }
         let kind = match list.kind {
             wire::ListKind::Delta => ListKind::Delta,
@@ -152,7 +153,7 @@
             .as_ref()
             .and_then(|name| settings.tenant_id(name.as_str()?));
         let incoming = IncomingRequest {
-            request: self.names.open_request(&request.request)?,
+            request: self.names.add_request(&request.request)?,
             class: ClassId(class),
             remaining: Duration::from_micros(request.remaining_us),
             slots: request.slots.unwrap_or(1.0),
@@ -207,7 +208,7 @@
             request,
             attempt_index: result.attempt_index,
             endpoint,
-            outcome: outcome(result.outcome),
+            outcome: convert_outcome(result.outcome),
             latency: Duration::from_micros(result.latency_us),
             request_done: result.request_done,
             report,
@@ -224,7 +225,7 @@
     }
 
     fn on_timer(&mut self, now: Timestamp, timer: u64) {
-        if timer == self.timer {
+        if timer == self.latest_timer {
             self.notify(now, Event::TimerFired);
         }
     }
@@ -236,7 +237,7 @@
     ) -> Result<(), EventError> {
         let result = HealthCheckResult {
             endpoint: self.names.endpoint_id(&result.endpoint)?,
-            outcome: outcome(result.outcome),
+            outcome: convert_outcome(result.outcome),
             latency: Duration::from_micros(result.latency_us),
             report: self.names.load_report(result.report.as_deref()),
         };
@@ -244,7 +245,7 @@
         Ok(())
     }
 
-    fn order(&mut self, action: Action) -> Result<Order, EventError> {
+    fn convert_action(&mut self, action: Action) -> Result<wire::Action, EventError> {
         let instance = self.number;
         Ok(match action {
             Action::Send {
@@ -253,7 +254,7 @@
                 timeout,
             } => {
                 self.names.attempt_started(request);
-                Order::Send {
+                wire::Action::Send {
                     instance,
                     request: self.names.request_name(request)?,
                     timeout_us: timeout.map(micros),
@@ -263,7 +264,7 @@
             Action::Cancel {
                 request,
                 attempt_index,
-            } => Order::Cancel {
+            } => wire::Action::Cancel {
                 instance,
                 request: self.names.request_name(request)?,
                 attempt_index,
@@ -273,7 +274,7 @@
                 retry_after,
             } => {
                 self.names.request_done(request);
-                Order::Shed {
+                wire::Action::Shed {
                     instance,
                     request: self.names.request_name(request)?,
                     retry_after_us: retry_after.map(micros),
@@ -281,41 +282,41 @@
             }
             Action::Fail { request } => {
                 self.names.request_done(request);
-                Order::Fail {
+                wire::Action::Fail {
                     instance,
                     request: self.names.request_name(request)?,
                 }
             }
-            Action::CheckHealth { endpoint } => Order::CheckHealth {
+            Action::CheckHealth { endpoint } => wire::Action::CheckHealth {
                 instance,
                 endpoint: self.names.endpoint_name(endpoint),
             },
-            Action::CloseIdleConnections { endpoint } => Order::CloseIdleConnections {
+            Action::CloseIdleConnections { endpoint } => wire::Action::CloseIdleConnections {
                 instance,
                 endpoint: self.names.endpoint_name(endpoint),
             },
-            Action::Subscribe => Order::Subscribe {
+            Action::Subscribe => wire::Action::Subscribe {
                 instance,
                 active: true,
             },
             Action::SetTimer { after } => {
-                self.timer += 1;
-                Order::SetTimer {
+                self.latest_timer += 1;
+                wire::Action::SetTimer {
                     instance,
                     after_us: micros(after),
-                    timer: self.timer,
+                    timer: self.latest_timer,
                 }
             }
-            Action::Log(message) => Order::Log { instance, message },
+            Action::Log(message) => wire::Action::Log { instance, message },
         })
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    span.as_micros() as u64
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
 }
 
-fn outcome(outcome: wire::Outcome) -> Outcome {
+fn convert_outcome(outcome: wire::Outcome) -> Outcome {
     match outcome {
         wire::Outcome::Success => Outcome::Success,
         wire::Outcome::Error => Outcome::Error,
--- a/crates/adapter/src/names.rs
+++ b/crates/adapter/src/name_table.rs
@@ -1,4 +1,4 @@
-//! Names on the wire and the handles that stand for them.
+//! Maps the names of endpoints and requests on the wire to the ids that the balancer uses.
 
 use crate::error::EventError;
 use crate::wire;
@@ -8,36 +8,36 @@
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::collections::HashMap;
 
-/// What the wire's names mean to one instance.
-pub struct Names {
+/// The names that one instance knows, and their ids.
+pub struct NameTable {
     settings: DeploymentSettings,
     endpoint_ids: HashMap<Box<str>, EndpointId>,
-    /// Name of each endpoint, by handle.
-    endpoints: Vec<Box<str>>,
+    /// The name of each endpoint; the index is its id.
+    endpoint_names: Vec<Box<str>>,
     request_ids: HashMap<Box<str>, RequestId>,
-    requests: HashMap<RequestId, OpenRequest>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     next_request: u64,
-    /// Requests that may be over.
-    touched: Vec<RequestId>,
+    /// Requests that may have ended since the last [`NameTable::remove_ended_requests`].
+    possibly_ended: Vec<RequestId>,
 }
 
-/// A request that the balancer may still name.
+/// A request that events or actions may still refer to.
 struct OpenRequest {
     name: Box<str>,
     attempts_in_flight: usize,
     is_done: bool,
 }
 
-impl Names {
-    pub fn new(settings: DeploymentSettings) -> Names {
-        Names {
+impl NameTable {
+    pub fn new(settings: DeploymentSettings) -> NameTable {
+        NameTable {
             settings,
             endpoint_ids: HashMap::new(),
-            endpoints: Vec::new(),
+            endpoint_names: Vec::new(),
             request_ids: HashMap::new(),
-            requests: HashMap::new(),
+            open_requests: HashMap::new(),
             next_request: 0,
-            touched: Vec::new(),
+            possibly_ended: Vec::new(),
         }
     }
 
@@ -45,18 +45,20 @@
         &self.settings
     }
 
-    /// An entry of the endpoint list, with a new handle for a new name.
-    pub fn entry<'a>(
+    /// Converts an entry of an endpoint list. An endpoint with a new name gets a new id.
+    pub fn endpoint_entry<'a>(
         &mut self,
         entry: &'a wire::EndpointEntry,
     ) -> Result<EndpointEntry<'a>, EventError> {
         let zone = self.settings.zone_id(entry.zone.as_deref());
         let kind = self.settings.kind_id(entry.kind.as_deref());
         Ok(EndpointEntry {
-            endpoint: self.endpoint_id_or_new(&entry.name),
+            endpoint: self.intern_endpoint(&entry.name),
             name: &entry.name,
-            zone: zone.ok_or_else(|| EventError::UnknownZone(owned(entry.zone.as_deref())))?,
-            kind: kind.ok_or_else(|| EventError::UnknownKind(owned(entry.kind.as_deref())))?,
+            zone: zone
+                .ok_or_else(|| EventError::UnknownZone(name_or_empty(entry.zone.as_deref())))?,
+            kind: kind
+                .ok_or_else(|| EventError::UnknownKind(name_or_empty(entry.kind.as_deref())))?,
             cell: entry.cell,
             state: match entry.state {
                 wire::EndpointState::Ready => EndpointState::Ready,
@@ -70,12 +72,13 @@
         })
     }
 
-    fn endpoint_id_or_new(&mut self, name: &str) -> EndpointId {
+    /// The id of the endpoint with this name; assigns one if the name is new.
+    fn intern_endpoint(&mut self, name: &str) -> EndpointId {
         if let Some(&id) = self.endpoint_ids.get(name) {
             return id;
         }
-        let id = EndpointId(self.endpoints.len() as u32);
-        self.endpoints.push(name.into());
+        let id = EndpointId(self.endpoint_names.len() as u32);
+        self.endpoint_names.push(name.into());
         self.endpoint_ids.insert(name.into(), id);
         id
     }
@@ -86,22 +89,22 @@
     }
 
     pub fn endpoint_name(&self, id: EndpointId) -> String {
-        self.endpoints[id.index()].to_string()
+        self.endpoint_names[id.index()].to_string()
     }
 
-    /// The handle of an open request.
+    /// The id of an open request.
     pub fn request_id(&self, name: &str) -> Option<RequestId> {
         self.request_ids.get(name).copied()
     }
 
-    /// A handle for a new request.
-    pub fn open_request(&mut self, name: &str) -> Result<RequestId, EventError> {
+    /// Adds a new request and assigns its id.
+    pub fn add_request(&mut self, name: &str) -> Result<RequestId, EventError> {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         if self.request_ids.insert(name.into(), id).is_some() {
-            return Err(EventError::RequestTwice(name.to_owned()));
+            return Err(EventError::DuplicateRequest(name.to_owned()));
         }
-        self.requests.insert(
+        self.open_requests.insert(
             id,
             OpenRequest {
                 name: name.into(),
@@ -112,47 +115,50 @@
         Ok(id)
     }
 
-    /// The name of an open request that an action names.
+    /// The name of the open request that an action refers to.
     pub fn request_name(&self, id: RequestId) -> Result<String, EventError> {
-        let request = self.requests.get(&id).ok_or(EventError::EndedRequest)?;
+        let request = self
+            .open_requests
+            .get(&id)
+            .ok_or(EventError::EndedRequest)?;
         Ok(request.name.to_string())
     }
 
     pub fn attempt_started(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
             request.attempts_in_flight += 1;
         }
     }
 
     pub fn attempt_finished(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
         }
-        self.touched.push(id);
+        self.possibly_ended.push(id);
     }
 
-    /// The request has its final response, or its client has gone.
+    /// Records that the request has its final response, or that its client has disconnected.
     pub fn request_done(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id) {
+        if let Some(request) = self.open_requests.get_mut(&id) {
             request.is_done = true;
         }
-        self.touched.push(id);
+        self.possibly_ended.push(id);
     }
 
-    /// Forgets the requests that are done and have no attempt in flight.
-    pub fn forget_ended_requests(&mut self) {
-        for id in self.touched.drain(..) {
-            let is_over =
+    /// Removes the requests that are done and have no attempt in flight.
+    pub fn remove_ended_requests(&mut self) {
+        for id in self.possibly_ended.drain(..) {
+            let has_ended =
                 |request: &OpenRequest| request.is_done && request.attempts_in_flight == 0;
-            if self.requests.get(&id).is_some_and(is_over)
-                && let Some(request) = self.requests.remove(&id)
+            if self.open_requests.get(&id).is_some_and(has_ended)
+                && let Some(request) = self.open_requests.remove(&id)
             {
                 self.request_ids.remove(&request.name);
             }
         }
     }
 
-    /// A load report, whose values come in the order of the settings.
+    /// Builds a load report from its values, which have the order of the fields in the settings.
     pub fn load_report(&self, values: Option<&[f64]>) -> Option<LoadReport> {
         let names = self.settings.load_reports.fields.iter().map(String::as_str);
         Some(DeploymentSettings::build_load_report(
@@ -161,6 +167,6 @@
     }
 }
 
-fn owned(name: Option<&str>) -> String {
+fn name_or_empty(name: Option<&str>) -> String {
     name.unwrap_or_default().to_owned()
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,13 +1,13 @@
-//! The simulator's wire: one JSON value per line, typed and borrowed from the line.
+//! The simulator's protocol: one JSON value per line, deserialized into types that borrow their
+//! strings from the line.
 //!
-//! The wire has names of its own; each gets the term of the field here, and the wire's name stands
-//! in its `rename` attribute.
+//! The `rename` attributes give the names on the wire, which differ from the terms of this project.
 
 use pumiceway_decisions::settings::DeploymentSettings;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// Events of one moment, for any instances.
+/// Events with the same timestamp, which may be for different instances.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "sim-time-us")]
@@ -16,7 +16,7 @@
     pub events: Vec<Event<'a>>,
 }
 
-/// What the simulator tells an instance.
+/// An event for an instance.
 #[derive(Deserialize)]
 pub enum Event<'a> {
     /// The instance starts.
@@ -26,7 +26,7 @@
     EndpointList(EndpointList<'a>),
     #[serde(borrow, rename = "knock")]
     RequestArrived(RequestArrived<'a>),
-    /// A stream is open; only streamed classes, which nothing here uses, get it.
+    /// A stream has opened. Only streamed classes have streams, and the adapter ignores them.
     #[serde(rename = "established")]
     StreamOpened(InstanceOnly),
     #[serde(borrow, rename = "update-of")]
@@ -39,16 +39,16 @@
     TimerFired(TimerFired),
     #[serde(borrow, rename = "probed")]
     HealthChecked(HealthChecked<'a>),
-    /// A message of another dispatcher; nothing here uses it.
+    /// A message from another dispatcher, which the adapter ignores.
     #[serde(rename = "whisper")]
     Gossip(InstanceOnly),
-    /// The instance ends.
+    /// The instance stops.
     #[serde(rename = "shutdown")]
     Shutdown(InstanceOnly),
 }
 
 impl Event<'_> {
-    /// The instance that the event is for.
+    /// The number of the instance that the event is for.
     pub fn instance(&self) -> u64 {
         match self {
             Event::Start(event) => event.instance,
@@ -66,7 +66,7 @@
     }
 }
 
-/// An event of which only the instance matters.
+/// An event whose fields other than the instance are ignored.
 #[derive(Deserialize)]
 pub struct InstanceOnly {
     #[serde(rename = "i")]
@@ -84,7 +84,7 @@
     pub settings: DeploymentSettings,
 }
 
-/// The endpoint list, or changes to it.
+/// An endpoint list, or changes to the previous one.
 #[derive(Deserialize)]
 pub struct EndpointList<'a> {
     #[serde(rename = "i")]
@@ -95,7 +95,7 @@
     pub entries: Vec<EndpointEntry<'a>>,
 }
 
-/// What the entries of a list stand for.
+/// How the entries of a list relate to the previous list.
 #[derive(Deserialize, Clone, Copy)]
 pub enum ListKind {
     #[serde(rename = "incr")]
@@ -127,7 +127,7 @@
     pub kind: Option<Cow<'a, str>>,
 }
 
-/// State of an endpoint.
+/// The state of an endpoint.
 #[derive(Deserialize, Clone, Copy)]
 pub enum EndpointState {
     #[serde(rename = "healthy")]
@@ -138,7 +138,7 @@
     Gone,
 }
 
-/// A request.
+/// A new request.
 #[derive(Deserialize)]
 pub struct RequestArrived<'a> {
     #[serde(rename = "i")]
@@ -156,12 +156,12 @@
     pub work_hint_us: Option<u64>,
     #[serde(rename = "path-key")]
     pub affinity_key: Option<u64>,
-    /// A name; a number where there are no tenants.
+    /// The name of the tenant, or a number if the settings have no tenants; a number is ignored.
     #[serde(rename = "team")]
     pub tenant: Option<serde_json::Value>,
 }
 
-/// Progress of an attempt.
+/// The progress of an attempt.
 #[derive(Deserialize)]
 pub struct AttemptProgressed<'a> {
     #[serde(rename = "i")]
@@ -174,17 +174,17 @@
     pub endpoint: Cow<'a, str>,
     #[serde(default, rename = "shot")]
     pub attempt_index: usize,
-    /// [`UPDATE_STARTED`] or [`UPDATE_FRACTION`]; others have no meaning here.
+    /// [`UPDATE_STARTED`] or [`UPDATE_FRACTION`]; other values are ignored.
     #[serde(default, rename = "sort")]
     pub update: u64,
 }
 
-/// The attempt has started.
+/// The endpoint has started the attempt.
 pub const UPDATE_STARTED: u64 = 1;
-/// A fraction of the attempt's work is done.
+/// The field `fraction` tells how much of the work is done.
 pub const UPDATE_FRACTION: u64 = 2;
 
-/// The end of an attempt.
+/// An attempt has ended.
 #[derive(Deserialize)]
 pub struct AttemptEnded<'a> {
     #[serde(rename = "i")]
@@ -240,12 +240,12 @@
 pub struct TimerFired {
     #[serde(rename = "i")]
     pub instance: u64,
-    /// The number that it was set with.
+    /// The number in the action that set it.
     #[serde(rename = "nonce")]
     pub timer: u64,
 }
 
-/// The end of a health check.
+/// A health check has ended.
 #[derive(Deserialize)]
 pub struct HealthChecked<'a> {
     #[serde(rename = "i")]
@@ -263,12 +263,13 @@
 /// The reply to a batch.
 #[derive(Serialize)]
 pub struct Reply {
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub actions: Vec<Action>,
 }
 
-/// What an instance wants done.
+/// An action of an instance, which the simulator carries out.
 #[derive(Serialize)]
-pub enum Order {
+pub enum Action {
     #[serde(rename = "pass-on")]
     Send {
         #[serde(rename = "i")]
