--- a/crates/pumiceway/examples/toy.rs
+++ b/crates/pumiceway/examples/toy.rs
@@ -1,4 +1,4 @@
-//! A toy worker and a toy client, to see a first job run through a dispatcher on this machine:
+//! A minimal Gearman worker and client, to run a first job through a dispatcher on this machine:
 //!
 //! ```text
 //! cargo run --example toy worker rate-push          runs jobs until it is stopped
@@ -20,8 +20,8 @@
 const WORK_COMPLETE: u32 = 13;
 const WORK_FAIL: u32 = 14;
 
-/// The length of a packet's head: magic, type and length of the body, 4 bytes each.
-const HEAD_LENGTH: usize = 12;
+/// The length of a packet header: magic, type and length of the body, 4 bytes each.
+const HEADER_LENGTH: usize = 12;
 
 /// A received Gearman packet.
 struct Packet {
@@ -29,7 +29,7 @@
     arguments: Vec<String>,
 }
 
-/// Sends a Gearman packet. A zero byte separates its arguments.
+/// Sends a Gearman request packet; zero bytes separate its arguments.
 fn send(stream: &mut TcpStream, kind: u32, arguments: &[&str]) -> Result<(), Error> {
     let body = arguments.join("\0");
     let mut packet = b"\0REQ".to_vec();
@@ -39,10 +39,11 @@
     stream.write_all(&packet)
 }
 
+/// Receives a Gearman packet.
 fn receive(stream: &mut TcpStream) -> Result<Packet, Error> {
-    let mut head = [0; HEAD_LENGTH];
-    stream.read_exact(&mut head)?;
-    let [_, _, _, _, kind @ .., l0, l1, l2, l3] = head;
+    let mut header = [0; HEADER_LENGTH];
+    stream.read_exact(&mut header)?;
+    let [_, _, _, _, kind @ .., l0, l1, l2, l3] = header;
     let length = u32::from_be_bytes([l0, l1, l2, l3]);
     let mut body = vec![0; length as usize];
     stream.read_exact(&mut body)?;
@@ -56,6 +57,7 @@
     })
 }
 
+/// Runs jobs of a function: the result of each is its workload in upper case.
 fn worker(stream: &mut TcpStream, function: &str) -> Result<(), Error> {
     send(stream, CAN_DO, &[function])?;
     send(stream, GRAB_JOB, &[])?;
@@ -67,13 +69,14 @@
                 send(stream, WORK_COMPLETE, &[handle, &workload.to_uppercase()])?;
                 send(stream, GRAB_JOB, &[])?;
             }
-            // The dispatcher wakes a sleeping worker with a NOOP packet.
+            // After PRE_SLEEP, the dispatcher sends a NOOP packet once a job is queued.
             (NO_JOB, _) => send(stream, PRE_SLEEP, &[])?,
             _ => send(stream, GRAB_JOB, &[])?,
         }
     }
 }
 
+/// Submits a job and prints the packets received up to its result.
 fn submit(stream: &mut TcpStream, function: &str, workload: &str) -> Result<(), Error> {
     send(stream, SUBMIT_JOB, &[function, "", workload])?;
     loop {
@@ -103,7 +106,7 @@
             submit(&mut TcpStream::connect(address)?, function, workload)
         }
         _ => Err(Error::other(
-            "toy worker FUNCTION, or toy submit FUNCTION WORKLOAD",
+            "usage: toy worker FUNCTION, or toy submit FUNCTION WORKLOAD",
         )),
     }
 }
--- a/crates/pumiceway/src/arguments.rs
+++ b/crates/pumiceway/src/arguments.rs
@@ -1,6 +1,6 @@
-//! The arguments of the command line. Their doc comments are the help texts.
+//! The command line. The doc comments of arguments and commands are the texts of `--help`.
 
-#![allow(clippy::doc_markdown)] // doc comments of fields are the text of --help
+#![allow(clippy::doc_markdown)] // doc comments are the texts of --help
 
 use crate::config_files::ConfigFiles;
 use argh::FromArgs;
@@ -8,7 +8,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Where the Gearman frontend listens by default.
+/// The default address of the Gearman frontend.
 const DEFAULT_GEARMAN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 4730);
 const MAX_LOG_MEGABYTES: usize = 1_024;
 const MAX_OLDER_LOG_FILES: usize = 100;
@@ -65,7 +65,7 @@
 }
 
 impl Serve {
-    /// The files of the configuration.
+    /// The configuration files that the arguments name.
     pub fn config_files(&self) -> ConfigFiles {
         ConfigFiles {
             #[cfg(feature = "appliance")]
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The settings of the log.
+    /// The settings of the log. Sizes and counts out of range are clamped.
     pub fn log_options(&self) -> Options {
         let sink = match &self.log_file {
             Some(path) => Sink::Files(LogFiles {
@@ -112,7 +112,7 @@
 }
 
 impl CheckConfig {
-    /// The files of the configuration.
+    /// The configuration files that the arguments name.
     pub fn config_files(self) -> ConfigFiles {
         ConfigFiles {
             #[cfg(feature = "appliance")]
--- a/crates/pumiceway/src/config_files.rs
+++ b/crates/pumiceway/src/config_files.rs
@@ -1,7 +1,8 @@
-//! The files that the configuration is read from.
+//! Loading of the configuration from its files.
 //!
-//! An appliance has a site file. The platform names its file in `ROUTER_CONFIG`, and switches the
-//! Gearman frontend on with a file of its own.
+//! An appliance has a site file for all of it. On the platform, `ROUTER_CONFIG` names the document
+//! with the settings, and `--gearman` names a separate file that enables the Gearman frontend. In
+//! both cases `--zookeeper` names a file that enables an endpoint list in ZooKeeper.
 
 use crate::error::CommandError;
 use pumiceway_net::config::{Config, ConfigError, GearmanConfig, ZooKeeperConfig};
@@ -9,7 +10,7 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-/// The files that the arguments name.
+/// The configuration files that the arguments name.
 pub struct ConfigFiles {
     #[cfg(feature = "appliance")]
     pub site: Option<PathBuf>,
@@ -17,18 +18,18 @@
     pub zookeeper: Option<PathBuf>,
 }
 
-/// What a hang-up signal does.
+/// How the process reacts to SIGHUP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadPolicy {
-    /// The configuration is read again.
+    /// Reloads the configuration.
     Reload,
-    /// Nothing: a site file is read at the start only.
+    /// Logs a warning only: a site file is read once, at startup.
     #[cfg_attr(not(feature = "appliance"), allow(dead_code))]
     RestartRequired,
 }
 
 impl ConfigFiles {
-    /// Reads the configuration.
+    /// Loads and checks the configuration.
     pub fn load(&self) -> Result<Config, CommandError> {
         #[cfg(feature = "appliance")]
         if let Some(site) = &self.site {
@@ -37,7 +38,7 @@
         Ok(self.load_platform()?)
     }
 
-    /// What a hang-up signal does with this configuration.
+    /// How the process reacts to SIGHUP with this configuration.
     #[cfg_attr(not(feature = "appliance"), allow(clippy::unused_self))]
     pub fn reload_policy(&self) -> ReloadPolicy {
         #[cfg(feature = "appliance")]
--- a/crates/pumiceway/src/console/command.rs
+++ b/crates/pumiceway/src/console/command.rs
@@ -11,36 +11,38 @@
 /// A command of the console.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// An admin command whose response is a table.
+    /// Sends an admin command whose response is a table.
     Table {
         name: &'static str,
-        head: &'static [&'static str],
+        /// The names of the columns, which the response does not have.
+        header: &'static [&'static str],
     },
-    /// An admin command whose response is one line.
+    /// Sends an admin command whose response is one line.
     Line {
         name: &'static str,
     },
+    /// Repeats `status` and `routes` at this interval.
     Watch {
         interval: Duration,
     },
     Help,
     Quit,
-    /// An empty line.
+    /// Does nothing; an empty line.
     Empty,
 }
 
 impl Command {
     pub const STATUS: Command = Command::Table {
         name: "status",
-        head: &["function", "jobs", "running", "workers"],
+        header: &["function", "jobs", "running", "workers"],
     };
     pub const WORKERS: Command = Command::Table {
         name: "workers",
-        head: &["session"],
+        header: &["session"],
     };
     pub const ROUTES: Command = Command::Table {
         name: "routes",
-        head: &["endpoint", "state", "zone"],
+        header: &["endpoint", "state", "zone"],
     };
     pub const KEPT: Command = Command::Line { name: "kept" };
     pub const VERSION: Command = Command::Line { name: "version" };
--- a/crates/pumiceway/src/console/connection.rs
+++ b/crates/pumiceway/src/console/connection.rs
@@ -1,27 +1,30 @@
-//! A connection for admin commands: lines of text, as Gearman has them.
+//! The connection for the admin commands of the Gearman protocol, which are lines of text.
 
 use super::error::ConsoleError;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The dispatcher accepts the connection, and sends each line, within this time.
+/// The time limit for connecting, and for each line of a response.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The line that ends a table.
 const END_OF_TABLE: &str = ".";
 
+/// A connection to the Gearman frontend of a dispatcher.
 pub struct AdminConnection(BufReader<TcpStream>);
 
 impl AdminConnection {
     pub fn open(address: SocketAddr) -> Result<AdminConnection, ConsoleError> {
-        let failed = |source| ConsoleError::Connect { address, source };
-        let stream = TcpStream::connect_timeout(&address, TIMEOUT).map_err(failed)?;
-        stream.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
+        let connect_error = |source| ConsoleError::Connect { address, source };
+        let stream = TcpStream::connect_timeout(&address, TIMEOUT).map_err(connect_error)?;
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .map_err(connect_error)?;
         Ok(AdminConnection(BufReader::new(stream)))
     }
 
-    /// Sends a command and receives the rows of its table.
+    /// Sends a command and returns the cells of the rows in its response.
     pub fn request_table(&mut self, command: &str) -> Result<Vec<Vec<String>>, ConsoleError> {
         self.send(command)?;
         let mut rows = Vec::new();
@@ -34,7 +37,7 @@
         }
     }
 
-    /// Sends a command and receives its line.
+    /// Sends a command and returns the line of its response.
     pub fn request_line(&mut self, command: &str) -> Result<String, ConsoleError> {
         self.send(command)?;
         self.receive_line()
--- a/crates/pumiceway/src/console/error.rs
+++ b/crates/pumiceway/src/console/error.rs
@@ -3,21 +3,21 @@
 use std::net::SocketAddr;
 use std::{error, fmt, io};
 
-/// The console cannot go on.
+/// Why the console stopped.
 #[derive(Debug)]
 pub enum ConsoleError {
-    /// There is no such command.
+    /// The argument of `--command` is not a command.
     UnknownCommand(UnknownCommand),
-    /// No dispatcher accepts connections at the address.
+    /// No connection can be opened to the address.
     Connect {
         address: SocketAddr,
         source: io::Error,
     },
     /// The dispatcher closed the connection.
     ConnectionClosed,
-    /// A command cannot be sent.
+    /// An admin command cannot be sent.
     Send(io::Error),
-    /// No response can be read, or none came in time.
+    /// The response cannot be read, or did not arrive in time.
     Receive(io::Error),
     /// Standard input cannot be read.
     Input(io::Error),
--- a/crates/pumiceway/src/console/mod.rs
+++ b/crates/pumiceway/src/console/mod.rs
@@ -1,5 +1,5 @@
-//! The terminal console: shows a running dispatcher through the admin commands of its Gearman
-//! frontend.
+//! The console, which shows the state of a running dispatcher through the admin commands of its
+//! Gearman frontend.
 
 mod command;
 mod connection;
@@ -25,10 +25,10 @@
 quit       leave the console
 ";
 
-/// The control sequences that clear a terminal and move the cursor to its start.
+/// The control sequences that clear the terminal and move the cursor to its top left corner.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// Runs one command, or reads commands until the input ends.
+/// Runs the given command, or reads commands from standard input until it ends.
 pub fn run(address: SocketAddr, command: Option<&str>) -> Result<(), ConsoleError> {
     let mut console = Console {
         connection: AdminConnection::open(address)?,
@@ -51,7 +51,8 @@
     Quit,
 }
 
-/// Output that cannot be written is ignored: the console has no other place to report it.
+/// The state of the console. Output that cannot be written is ignored, since there is no other
+/// place to report the error.
 struct Console<W> {
     connection: AdminConnection,
     output: W,
@@ -89,7 +90,7 @@
 
     fn execute(&mut self, command: Command) -> Result<Next, ConsoleError> {
         match command {
-            Command::Table { name, head } => self.show_table(name, head)?,
+            Command::Table { name, header } => self.show_table(name, header)?,
             Command::Line { name } => self.show_line(name)?,
             Command::Watch { interval } => return self.watch(interval),
             Command::Help => drop(write!(self.output, "{HELP}")),
@@ -99,8 +100,8 @@
         Ok(Next::Continue)
     }
 
-    fn show_table(&mut self, name: &str, head: &[&str]) -> Result<(), ConsoleError> {
-        let mut rows = vec![head.iter().map(|&cell| cell.to_owned()).collect()];
+    fn show_table(&mut self, name: &str, header: &[&str]) -> Result<(), ConsoleError> {
+        let mut rows = vec![header.iter().map(|&cell| cell.to_owned()).collect()];
         rows.extend(self.connection.request_table(name)?);
         let _ = write!(self.output, "{}", table::format(&rows));
         Ok(())
@@ -112,7 +113,7 @@
         Ok(())
     }
 
-    /// Shows the dispatcher again and again, until the output is closed.
+    /// Repeats `status` and `routes` until the output is closed.
     fn watch(&mut self, interval: Duration) -> Result<Next, ConsoleError> {
         loop {
             let _ = write!(self.output, "{CLEAR_SCREEN}");
--- a/crates/pumiceway/src/console/table.rs
+++ b/crates/pumiceway/src/console/table.rs
@@ -1,6 +1,6 @@
-//! Tables as text.
+//! Formatting of tables as text.
 
-/// Rows in columns as wide as their widest cells, two spaces apart.
+/// Formats rows in left-aligned columns, two spaces apart, each as wide as its widest cell.
 pub fn format(rows: &[Vec<String>]) -> String {
     let widths = column_widths(rows);
     rows.iter().map(|row| format_row(row, &widths)).collect()
--- a/crates/pumiceway/src/console/tests.rs
+++ b/crates/pumiceway/src/console/tests.rs
@@ -1,11 +1,11 @@
-//! The commands and the tables of the console.
+//! Parsing of console commands, and formatting of tables.
 
 use super::command::Command;
 use super::table;
 use std::time::Duration;
 
 #[test]
-fn known_commands_are_parsed_and_others_are_errors() {
+fn known_commands_are_parsed_and_others_are_rejected() {
     let parse = |text: &str| text.parse::<Command>().ok();
     assert_eq!(parse("  kept\n"), Some(Command::Line { name: "kept" }));
     assert_eq!(
@@ -15,8 +15,8 @@
         })
     );
     assert_eq!(parse(""), Some(Command::Empty));
-    for bad in ["watch 0", "watch x", "kept twice", "shutdown"] {
-        assert_eq!(parse(bad), None, "{bad}");
+    for invalid in ["watch 0", "watch x", "kept twice", "shutdown"] {
+        assert_eq!(parse(invalid), None, "{invalid}");
     }
 }
 
--- a/crates/pumiceway/src/error.rs
+++ b/crates/pumiceway/src/error.rs
@@ -9,12 +9,12 @@
 use pumiceway_site::SiteError;
 use std::{error, fmt, io};
 
-/// A command fails. The message is the one line that the operator reads.
+/// Why a command failed. The message is a single line for the operator.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The platform's configuration cannot be used.
+    /// The configuration of the platform is invalid or cannot be read.
     Config(ConfigError),
-    /// The site file cannot be used.
+    /// The site file is invalid or cannot be read.
     #[cfg(feature = "appliance")]
     Site(SiteError),
     /// `--gearman` is given together with `--site`.
@@ -22,13 +22,13 @@
     GearmanWithSite,
     /// The log cannot be started.
     Log(LogError),
-    /// The runtime cannot be started.
+    /// The async runtime cannot be started.
     Runtime(io::Error),
     /// The dispatcher cannot serve.
     Serve(io::Error),
-    /// The console ends with an error.
+    /// The console failed.
     Console(ConsoleError),
-    /// No site file is written.
+    /// No site file was written.
     #[cfg(feature = "appliance")]
     Init(InitError),
 }
@@ -41,10 +41,10 @@
             CommandError::Site(error) => error.fmt(f),
             #[cfg(feature = "appliance")]
             CommandError::GearmanWithSite => f.write_str(
-                "--gearman: with a site file, its listen.gearman switches that frontend on",
+                "--gearman cannot be combined with --site; set listen.gearman in the site file",
             ),
             CommandError::Log(error) => error.fmt(f),
-            CommandError::Runtime(error) => write!(f, "cannot start: {error}"),
+            CommandError::Runtime(error) => write!(f, "cannot start the async runtime: {error}"),
             CommandError::Serve(error) => error.fmt(f),
             CommandError::Console(error) => error.fmt(f),
             #[cfg(feature = "appliance")]
--- a/crates/pumiceway/src/init/error.rs
+++ b/crates/pumiceway/src/init/error.rs
@@ -4,17 +4,17 @@
 use std::path::PathBuf;
 use std::{error, fmt, io};
 
-/// No site file is written.
+/// Why no site file was written.
 #[derive(Debug)]
 pub enum InitError {
-    /// The file exists.
+    /// The file exists already.
     FileExists(PathBuf),
     /// The input ended before the last question.
     InputEnded,
     /// Standard input cannot be read, or standard output cannot be written.
     Terminal(io::Error),
-    /// No site file can have these answers.
-    UnusableAnswers(SiteError),
+    /// A site file with these answers would be invalid.
+    InvalidAnswers(SiteError),
     /// The file cannot be written.
     Write { file: PathBuf, source: io::Error },
 }
@@ -24,16 +24,14 @@
         match self {
             InitError::FileExists(file) => write!(
                 f,
-                "{} is there already and was not touched; --site names another file",
+                "{} already exists and was not touched; use --site to write another file",
                 file.display()
             ),
             InitError::InputEnded => {
-                f.write_str("the answers ended before the last question; nothing was written")
+                f.write_str("the input ended before the last question; nothing was written")
             }
             InitError::Terminal(source) => source.fmt(f),
-            InitError::UnusableAnswers(source) => {
-                write!(f, "these answers can't be used: {source}")
-            }
+            InitError::InvalidAnswers(source) => write!(f, "invalid answers: {source}"),
             InitError::Write { file, source } => write!(f, "{}: {source}", file.display()),
         }
     }
@@ -50,7 +48,7 @@
         let text = &self.0;
         write!(
             f,
-            "{text:?} is not an address such as 127.0.0.1:4730, or none"
+            "{text:?} is neither an address, such as 127.0.0.1:4730, nor none"
         )
     }
 }
--- a/crates/pumiceway/src/init/mod.rs
+++ b/crates/pumiceway/src/init/mod.rs
@@ -1,7 +1,7 @@
-//! Sets a new site up: asks questions, and writes the site file.
+//! The command `init`, which asks for the main settings of a new site and writes its site file.
 //!
-//! A flag answers its question beforehand. Without a terminal, or with `--yes`, nothing is asked
-//! and the other answers have their defaults.
+//! A setting that is given as a flag is not asked for. Without a terminal, or with `--yes`, nothing
+//! is asked, and the settings that are not given have their defaults.
 
 mod error;
 mod prompt;
@@ -78,7 +78,7 @@
 impl Init {
     /// Asks the questions, checks the answers and writes the file.
     pub fn run(self) -> Result<(), InitError> {
-        // Checked before the questions, so that nobody answers them in vain.
+        // Checked before the questions, so that the answers are not lost.
         if self.site.exists() {
             return Err(InitError::FileExists(self.site));
         }
@@ -91,7 +91,7 @@
         let answers = self.answers(&mut prompt)?;
         let file = self.site.display();
         let text = pumiceway_site::template(&answers);
-        pumiceway_site::read(&text, &file.to_string()).map_err(InitError::UnusableAnswers)?;
+        pumiceway_site::read(&text, &file.to_string()).map_err(InitError::InvalidAnswers)?;
         write_new(&self.site, &text).map_err(|source| InitError::Write {
             file: self.site.clone(),
             source,
@@ -130,12 +130,13 @@
         })
     }
 
-    /// The classes of one sort.
+    /// The idempotent classes, or the non-idempotent ones: from the flags, from the answer to the
+    /// question, or the defaults.
     fn classes(
         &self,
         prompt: &mut Prompt<'_, impl BufRead, impl Write>,
         question: ClassQuestion,
-        given: &[String],
+        from_flags: &[String],
         defaults: &[ClassAnswer],
     ) -> Result<Vec<ClassAnswer>, InitError> {
         let idempotent = question.idempotent;
@@ -144,13 +145,14 @@
             .filter(|class| class.idempotent == idempotent)
             .map(|class| class.name.as_str())
             .collect();
-        let names = if !given.is_empty() {
-            given.to_vec()
+        let names = if !from_flags.is_empty() {
+            from_flags.to_vec()
         } else if prompt.is_interactive {
             let names: String = prompt.ask(question.text, &default_names.join(", "))?;
             split_names(&names)
-        } else if self.names_classes() {
-            // Whoever names classes of one sort wants none of our classes of the other.
+        } else if self.has_class_flags() {
+            // With flags for the classes of one kind only, the other kind has none, rather than
+            // its defaults.
             Vec::new()
         } else {
             default_names.into_iter().map(str::to_owned).collect()
@@ -159,12 +161,13 @@
         Ok(names.into_iter().map(class).collect())
     }
 
-    fn names_classes(&self) -> bool {
+    /// Whether a flag gives any class.
+    fn has_class_flags(&self) -> bool {
         !self.safe.is_empty() || !self.once.is_empty()
     }
 }
 
-/// The question for the classes of one sort.
+/// The question for the idempotent classes, or for the non-idempotent ones.
 struct ClassQuestion {
     idempotent: bool,
     text: &'static str,
@@ -172,14 +175,15 @@
 
 const IDEMPOTENT: ClassQuestion = ClassQuestion {
     idempotent: true,
-    text: "Which jobs may run again, if a worker drops out? (names, parted by commas)",
+    text: "Which jobs may run again, if a worker drops out? (names, separated by commas)",
 };
 
 const NON_IDEMPOTENT: ClassQuestion = ClassQuestion {
     idempotent: false,
-    text: "Which jobs must never run twice? (names, parted by commas)",
+    text: "Which jobs must never run twice? (names, separated by commas)",
 };
 
+/// Splits names at commas, without the spaces around them; empty names are left out.
 fn split_names(names: &str) -> Vec<String> {
     names
         .split(',')
@@ -189,7 +193,7 @@
         .collect()
 }
 
-/// Writes a file that must not exist.
+/// Creates a file with this text; fails if the file exists.
 fn write_new(path: &Path, text: &str) -> io::Result<()> {
     let mut file = OpenOptions::new().write(true).create_new(true).open(path)?;
     file.write_all(text.as_bytes())
--- a/crates/pumiceway/src/init/prompt.rs
+++ b/crates/pumiceway/src/init/prompt.rs
@@ -1,19 +1,20 @@
-//! Questions on the terminal.
+//! Prompts for answers on the terminal.
 
 use super::error::InitError;
 use std::fmt::Display;
 use std::io::{BufRead, Write};
 use std::str::FromStr;
 
+/// Asks questions on `output` and reads the answers from `input`.
 pub struct Prompt<'a, R, W> {
-    /// Questions are asked; otherwise the defaults apply.
+    /// Whether questions are asked; otherwise the defaults apply.
     pub is_interactive: bool,
     pub input: &'a mut R,
     pub output: &'a mut W,
 }
 
 impl<R: BufRead, W: Write> Prompt<'_, R, W> {
-    /// The given answer, or the answer to the question, or the default.
+    /// Returns the given answer, or asks for one if interactive, or returns the default.
     pub fn answer<T>(
         &mut self,
         given: Option<&T>,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Asks until the answer can be parsed. An empty answer stands for the default.
+    /// Asks until the answer can be parsed. An empty answer selects the default.
     pub fn ask<T>(&mut self, question: &str, default: &str) -> Result<T, InitError>
     where
         T: FromStr,
--- a/crates/pumiceway/src/init/tests.rs
+++ b/crates/pumiceway/src/init/tests.rs
@@ -1,4 +1,4 @@
-//! The questions of `init`.
+//! The prompts of `init`: invalid answers, defaults, and input that ends early.
 
 use super::prompt::Prompt;
 use super::{Init, InitError};
@@ -17,8 +17,8 @@
     }
 }
 
-/// The answers to this input, and the output.
-fn type_answers(mut input: &[u8]) -> (Result<Answers, InitError>, String) {
+/// Runs the prompts with this input; returns the answers and the output.
+fn run_prompts(mut input: &[u8]) -> (Result<Answers, InitError>, String) {
     let mut output = Vec::new();
     let answers = init().answers(&mut Prompt {
         is_interactive: true,
@@ -29,9 +29,9 @@
 }
 
 #[test]
-fn questions_are_repeated_until_the_answer_can_be_used() {
+fn a_question_is_repeated_until_its_answer_is_valid() {
     let input = "Inn \"1\"\nnowhere\n127.0.0.1:3100\nnone\n\nimports, bills\n";
-    let (answers, output) = type_answers(input.as_bytes());
+    let (answers, output) = run_prompts(input.as_bytes());
     let answers = answers.unwrap();
     assert_eq!((answers.http.port(), answers.gearman), (3100, None));
     let names: Vec<_> = answers
@@ -46,7 +46,7 @@
     let config = pumiceway_site::read(&pumiceway_site::template(&answers), "site.toml").unwrap();
     assert_eq!(config.name, "Inn \"1\"");
     assert!(output.contains("invalid socket address"));
-    let (answers, _) = type_answers(b"Inn\n");
+    let (answers, _) = run_prompts(b"Inn\n");
     assert!(
         answers
             .unwrap_err()
--- a/crates/pumiceway/src/main.rs
+++ b/crates/pumiceway/src/main.rs
@@ -1,6 +1,7 @@
-//! The program `pumiceway`: a dispatcher, and the tools of its operators.
+//! The `pumiceway` program: runs a dispatcher, checks and writes configuration files, and has a
+//! console for operators.
 //!
-//! Errors go to standard error, one line each, with exit code 2.
+//! A command that fails writes one line to standard error and exits with code 2.
 
 mod arguments;
 mod config_files;
--- a/crates/pumiceway/src/serve.rs
+++ b/crates/pumiceway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves until a signal asks the process to stop. A hang-up reads the configuration again.
+//! Runs the dispatcher until SIGTERM or SIGINT. SIGHUP reloads the configuration.
 
 use crate::config_files::ReloadPolicy;
 use crate::error::CommandError;
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Serves with this configuration, on the current thread.
+/// Runs the dispatcher with this configuration, on the current thread.
 pub fn run(config: Config, reload_policy: ReloadPolicy) -> Result<(), CommandError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -23,32 +23,36 @@
     let interrupt = signal(SignalKind::interrupt())?;
     let hangup = signal(SignalKind::hangup())?;
     let (reload_sender, reloads) = mpsc::unbounded_channel();
-    let running = config.startup_values.clone();
+    let startup_values = config.startup_values.clone();
     tokio::spawn(async move {
         match reload_policy {
-            ReloadPolicy::Reload => reload_on_hangup(hangup, running, reload_sender).await,
+            ReloadPolicy::Reload => reload_on_hangup(hangup, startup_values, reload_sender).await,
             ReloadPolicy::RestartRequired => warn_on_hangup(hangup).await,
         }
     });
     let dispatcher = Dispatcher::bind(config).await?;
-    dispatcher.run(stop(terminate, interrupt), reloads).await
+    dispatcher
+        .run(wait_for_stop(terminate, interrupt), reloads)
+        .await
 }
 
-async fn stop(mut terminate: Signal, mut interrupt: Signal) {
+/// Returns once the process is asked to stop.
+async fn wait_for_stop(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
 }
 
-/// A file that is wrong or half written must not end a dispatcher that serves.
+/// Reads the configuration again at each SIGHUP and sends it to the dispatcher. An invalid or
+/// partially written file is only logged, since it must not stop a running dispatcher.
 async fn reload_on_hangup(
     mut hangup: Signal,
-    running: StartupValues,
+    startup_values: StartupValues,
     reloads: mpsc::UnboundedSender<Reload>,
 ) {
     while hangup.recv().await.is_some() {
-        match Reload::read(&running, |key| std::env::var(key).ok()) {
+        match Reload::read(&startup_values, |key| std::env::var(key).ok()) {
             Ok(reload) => drop(reloads.send(reload)),
             Err(error) => tracing::error!(
                 reason = %error,
@@ -60,6 +64,6 @@
 
 async fn warn_on_hangup(mut hangup: Signal) {
     while hangup.recv().await.is_some() {
-        tracing::warn!("a site file is read at the start only; its changes require a restart");
+        tracing::warn!("a site file is read only at startup; changes require a restart");
     }
 }
