--- a/crates/site/src/convert/class.rs
+++ b/crates/site/src/convert/class.rs
@@ -1,4 +1,4 @@
-//! A class of a site file.
+//! Conversion of the classes of a site file.
 
 use crate::error::{SiteError, Source};
 use crate::schema::{Class, Repeat};
@@ -7,12 +7,12 @@
 use toml::Spanned;
 
 const MIN_DEADLINE_US: u64 = 100_000;
-/// Timers and the idempotency cache are sized for hours, not for days.
+/// One hour: timers and the idempotency cache are sized for hours, not for days.
 const MAX_DEADLINE_US: u64 = 3_600_000_000;
 const MAX_STRETCH: f64 = 1_000.0;
 const MAX_PRIORITY_WEIGHT: f64 = 1e6;
 
-/// The settings of a class, once its values are checked.
+/// Checks a class and converts it to its settings.
 pub(super) fn class_settings(
     source: &Source<'_>,
     name: String,
@@ -27,17 +27,19 @@
     checker.check_times(&class)?;
     checker.check_weights(&class)?;
     let deadline_us = class.deadline.get_ref().as_micros();
-    let max_queue_time_us = class.wait.map(|wait| wait.get_ref().as_micros());
+    let max_queue_time_us = class
+        .max_queue_time
+        .map(|max_queue_time| max_queue_time.get_ref().as_micros());
     Ok(ClassSettings {
         name,
-        latency_objective_us: class.wanted.get_ref().as_micros(),
-        objective_stretch: Some(*class.stretch.get_ref()),
+        latency_objective_us: class.latency_objective.get_ref().as_micros(),
+        objective_stretch: Some(*class.objective_stretch.get_ref()),
         deadline_us,
         max_queue_time_us: Some(max_queue_time_us.unwrap_or(deadline_us)),
-        priority_weight: *class.worth.get_ref(),
-        repeats: match class.repeat {
-            Repeat::Safe => RepeatSemantics::Idempotent,
-            Repeat::Never => RepeatSemantics::NonIdempotent,
+        priority_weight: *class.priority_weight.get_ref(),
+        repeats: match class.repeats {
+            Repeat::Idempotent => RepeatSemantics::Idempotent,
+            Repeat::NonIdempotent => RepeatSemantics::NonIdempotent,
         },
         deduplication_scope: None,
         allowed_zones: None,
@@ -46,6 +48,7 @@
     })
 }
 
+/// Checks the values of the class with this name.
 struct Checker<'a> {
     source: &'a Source<'a>,
     name: &'a str,
@@ -53,44 +56,49 @@
 
 impl Checker<'_> {
     fn check_name(&self, span: Range<usize>) -> Result<(), SiteError> {
-        let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+        let is_allowed =
+            |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
         if !self.name.is_empty() && self.name.chars().all(is_allowed) {
             return Ok(());
         }
         let key = format!("classes.{}", self.name);
-        let reason = "a class has a name of letters, digits, '-', '_' and '.'";
+        let reason = "a class name must consist of ASCII letters, digits, '-', '_' and '.'";
         Err(self.source.error_at(span, key, reason))
     }
 
     fn check_times(&self, class: &Class) -> Result<(), SiteError> {
-        let objective_us = class.wanted.get_ref().as_micros();
+        let objective_us = class.latency_objective.get_ref().as_micros();
         let deadline_us = class.deadline.get_ref().as_micros();
         if !(MIN_DEADLINE_US..=MAX_DEADLINE_US).contains(&deadline_us) {
-            let reason = "a deadline is between 100 ms and 1 h";
+            let reason = "must be between 100 ms and 1 h";
             return Err(self.error(&class.deadline, "deadline", reason));
         }
         if objective_us == 0 || objective_us > deadline_us {
-            let reason = "the wanted time is more than nothing and no longer than the deadline";
-            return Err(self.error(&class.wanted, "wanted", reason));
+            let reason = "must be more than 0 and no longer than the deadline";
+            return Err(self.error(&class.latency_objective, "wanted", reason));
         }
-        if let Some(wait) = &class.wait
-            && wait.get_ref().as_micros() > deadline_us
+        if let Some(max_queue_time) = &class.max_queue_time
+            && max_queue_time.get_ref().as_micros() > deadline_us
         {
-            let reason = "a job can't wait for longer than its deadline";
-            return Err(self.error(wait, "wait", reason));
+            let reason = "must be no longer than the deadline";
+            return Err(self.error(max_queue_time, "wait", reason));
         }
         Ok(())
     }
 
-    /// Both comparisons also reject NaN.
+    /// The comparisons are written so that they reject NaN.
     fn check_weights(&self, class: &Class) -> Result<(), SiteError> {
-        if !(0.0..=MAX_STRETCH).contains(class.stretch.get_ref()) {
-            return Err(self.error(&class.stretch, "stretch", "it is between 0 and 1000"));
+        if !(0.0..=MAX_STRETCH).contains(class.objective_stretch.get_ref()) {
+            return Err(self.error(
+                &class.objective_stretch,
+                "stretch",
+                "must be between 0 and 1000",
+            ));
         }
-        let priority_weight = *class.worth.get_ref();
+        let priority_weight = *class.priority_weight.get_ref();
         if !(priority_weight > 0.0 && priority_weight <= MAX_PRIORITY_WEIGHT) {
-            let reason = "it is more than 0 and at most 1000000";
-            return Err(self.error(&class.worth, "worth", reason));
+            let reason = "must be more than 0 and at most 1000000";
+            return Err(self.error(&class.priority_weight, "worth", reason));
         }
         Ok(())
     }
--- a/crates/site/src/convert/gearman.rs
+++ b/crates/site/src/convert/gearman.rs
@@ -1,4 +1,4 @@
-//! The Gearman frontend of a site file: its functions and its limits.
+//! Conversion of the functions and the limits of the Gearman frontend.
 
 use crate::error::{SiteError, Source};
 use crate::schema::{self, Keep, Limits};
@@ -14,7 +14,7 @@
 const MAX_CACHED_RESPONSES: usize = 1_000_000;
 const MAX_SLOTS: f64 = 1_000.0;
 
-/// The functions that the file names.
+/// Checks and converts the functions.
 pub(super) fn functions(
     source: &Source<'_>,
     functions: BTreeMap<String, schema::Function>,
@@ -22,38 +22,38 @@
 ) -> Result<BTreeMap<String, Function>, SiteError> {
     functions
         .into_iter()
-        .map(|(name, written)| {
-            let function = function(source, &name, &written, deployment)?;
+        .map(|(name, function)| {
+            let function = convert_function(source, &name, &function, deployment)?;
             Ok((name, function))
         })
         .collect()
 }
 
-fn function(
+fn convert_function(
     source: &Source<'_>,
     name: &str,
-    written: &schema::Function,
+    function: &schema::Function,
     deployment: &DeploymentSettings,
 ) -> Result<Function, SiteError> {
-    let class_name = written.class.get_ref();
+    let class_name = function.class.get_ref();
     let Some(class) = deployment.class_index(class_name) else {
-        let known: Vec<&str> = deployment
+        let class_names: Vec<&str> = deployment
             .classes
             .iter()
             .map(|class| class.name.as_str())
             .collect();
         let reason = format!(
-            "there is no class {class_name:?}; there is {}",
-            known.join(", ")
+            "unknown class {class_name:?}; the classes are {}",
+            class_names.join(", ")
         );
         let key = format!("functions.{name}.class");
-        return Err(source.error_at(written.class.span(), key, reason));
+        return Err(source.error_at(function.class.span(), key, reason));
     };
-    let slots = *written.slots.get_ref();
+    let slots = *function.slots.get_ref();
     if !(slots > 0.0 && slots <= MAX_SLOTS) {
         let key = format!("functions.{name}.slots");
-        let reason = "it is more than 0 and at most 1000";
-        return Err(source.error_at(written.slots.span(), key, reason));
+        let reason = "must be more than 0 and at most 1000";
+        return Err(source.error_at(function.slots.span(), key, reason));
     }
     Ok(Function {
         class: ClassId(class),
@@ -62,7 +62,7 @@
     })
 }
 
-/// The limits of the frontend.
+/// The limits of the Gearman frontend.
 pub(super) struct GearmanLimits {
     connections: usize,
     jobs: usize,
@@ -70,7 +70,7 @@
     retention: Retention,
 }
 
-/// Checks the limits. They are checked even if the frontend is off.
+/// Checks and converts the limits, also if the frontend is disabled.
 pub(super) fn limits(
     source: &Source<'_>,
     limits: &Limits,
@@ -82,11 +82,15 @@
         1..=MAX_CONNECTIONS,
     )?;
     let jobs = source.check_range("limits.jobs", &limits.jobs, 1..=MAX_JOBS)?;
-    let entries = source.check_range("keep.answers", &keep.answers, 1..=MAX_CACHED_RESPONSES)?;
+    let entries = source.check_range(
+        "keep.answers",
+        &keep.max_responses,
+        1..=MAX_CACHED_RESPONSES,
+    )?;
     Ok(GearmanLimits {
         connections,
         jobs,
-        max_queued: *limits.waiting.get_ref(),
+        max_queued: *limits.max_queued.get_ref(),
         retention: Retention {
             time: keep.time.0,
             entries,
@@ -97,7 +101,7 @@
 }
 
 impl GearmanLimits {
-    /// At least half of the inbound connections remain for HTTP clients.
+    /// Checks that at least half of the inbound connections remain for HTTP clients.
     pub(super) fn check_connections(
         &self,
         source: &Source<'_>,
@@ -110,8 +114,8 @@
             return Ok(());
         }
         let reason = format!(
-            "{connections} leave none to HTTP: at most {max} with these limits.sockets and \
-             limits.memory"
+            "{connections} is too many: with these limits.sockets and limits.memory, at most {max} \
+             leave half of the connections to HTTP clients"
         );
         Err(source.error_at(limits.connections.span(), "limits.connections", reason))
     }
--- a/crates/site/src/convert/mod.rs
+++ b/crates/site/src/convert/mod.rs
@@ -1,6 +1,6 @@
 //! Checks a site file and converts it to the configuration of the dispatcher.
 //!
-//! The values are checked in a fixed order, and the first one that cannot be used is reported.
+//! The values are checked in a fixed order, and the first invalid one is reported.
 
 mod class;
 mod gearman;
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 use toml::Spanned;
 
-/// Fewer descriptors leave none for clients beside those of the dispatcher itself.
+/// The dispatcher itself needs so many descriptors that fewer would leave none for clients.
 const MIN_SOCKETS: usize = 128;
 const MAX_SOCKETS: usize = 1 << 20;
 const MIN_MEMORY_MIB: u64 = 32;
@@ -28,15 +28,15 @@
 
 /// The only machine kind of a site.
 const WORKER_KIND: &str = "worker";
-/// How long a connection to an endpoint may take.
+/// The time limit for connecting to an endpoint.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
-/// The longest back-off that clients are told.
+/// The longest `Retry-After` that is sent to clients.
 const MAX_RETRY_AFTER_US: u64 = 2_000_000;
-/// Nothing new is sent to an endpoint later than this after it drains.
+/// How long after the notification that an endpoint drains new requests may still be sent to it.
 const DRAIN_GRACE_US: u64 = 500_000;
 const TIMER_RESOLUTION_US: u64 = 1_000;
 
-/// The configuration that a site file describes.
+/// Converts a site file to a configuration.
 pub(crate) fn config(source: &Source<'_>, site: SiteFile) -> Result<Config, SiteError> {
     check_class_count(source, &site)?;
     let classes = site
@@ -72,23 +72,23 @@
 
 fn check_class_count(source: &Source<'_>, site: &SiteFile) -> Result<(), SiteError> {
     if site.classes.is_empty() {
-        let reason = "a site has at least one class, such as [classes.booking-import]";
+        let reason = "at least one class is required, such as [classes.booking-import]";
         return Err(source.error("classes", reason));
     }
     if site.listen.gearman.is_some() && site.classes.len() > MAX_CLASSES {
-        let reason = format!("with Gearman there are at most {MAX_CLASSES} of them");
+        let reason = format!("at most {MAX_CLASSES} classes are allowed with listen.gearman");
         return Err(source.error("classes", reason));
     }
     Ok(())
 }
 
-/// The memory of the process, in MiB.
+/// Returns the memory of the process in MiB, if it is within its range.
 fn check_memory(source: &Source<'_>, memory: &Spanned<ByteSize>) -> Result<u64, SiteError> {
     let memory_mib = memory.get_ref().0 >> 20;
     if (MIN_MEMORY_MIB..=MAX_MEMORY_MIB).contains(&memory_mib) {
         return Ok(memory_mib);
     }
-    let reason = "it is 32 MiB at least, and 1 TiB at most";
+    let reason = "must be between 32 MiB and 1 TiB";
     Err(source.error_at(memory.span(), "limits.memory", reason))
 }
 
@@ -99,8 +99,9 @@
     limits: &Limits,
     classes: Vec<ClassSettings>,
 ) -> Result<DeploymentSettings, SiteError> {
-    let max_queued = source.check_range("limits.waiting", &limits.waiting, 1..=MAX_QUEUED)?;
-    let max_attempts = source.check_range("limits.tries", &limits.tries, 1..=MAX_ATTEMPTS)?;
+    let max_queued = source.check_range("limits.waiting", &limits.max_queued, 1..=MAX_QUEUED)?;
+    let max_attempts =
+        source.check_range("limits.tries", &limits.max_attempts, 1..=MAX_ATTEMPTS)?;
     Ok(DeploymentSettings {
         instance_index: 0,
         instance_count: 1,
@@ -138,7 +139,7 @@
     })
 }
 
-/// The workers that are called over HTTP, as a list that no discovery changes.
+/// The workers that are called over HTTP, as an endpoint list that no discovery service updates.
 fn bootstrap_list(workers: BTreeMap<String, Worker>, zone: &str) -> ListMessage {
     let endpoints = workers.into_iter().map(|(name, worker)| {
         ListedEndpoint::ready(name, worker.address.0.to_string(), zone.to_owned())
--- a/crates/site/src/error.rs
+++ b/crates/site/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors in a site file, with their places.
+//! Errors in a site file, and their positions.
 
 use pumiceway_net::config::TomlError;
 use std::fmt;
 use std::ops::{Range, RangeInclusive};
 use toml::Spanned;
 
-/// What is wrong with a site file, and where.
+/// An error in a site file, and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteError {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, from 1, if it is known.
+    /// The line, from 1; `None` if the error has no single line.
     pub line: Option<usize>,
-    /// The key, such as `classes.rate-push.wanted`; empty if there is none.
+    /// The key, such as `classes.rate-push.wanted`; empty if the error is not about a key.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and which values are valid.
     pub reason: String,
 }
 
@@ -34,7 +34,7 @@
 
 impl std::error::Error for SiteError {}
 
-/// The text that is read, for the places of errors.
+/// The text of a site file and its name, from which errors get their positions.
 #[derive(Clone, Copy)]
 pub(crate) struct Source<'a> {
     pub(crate) text: &'a str,
@@ -50,12 +50,12 @@
         reason: impl Into<String>,
     ) -> SiteError {
         SiteError {
-            line: Some(self.line(span.start)),
+            line: Some(self.line_of(span.start)),
             ..self.error(key, reason)
         }
     }
 
-    /// An error that has no single place.
+    /// An error without a line.
     pub(crate) fn error(&self, key: impl Into<String>, reason: impl Into<String>) -> SiteError {
         SiteError {
             file: self.file.to_owned(),
@@ -68,12 +68,12 @@
     /// An error of the TOML parser.
     pub(crate) fn toml_error(&self, error: TomlError) -> SiteError {
         SiteError {
-            line: error.location.map(|offset| self.line(offset)),
+            line: error.location.map(|offset| self.line_of(offset)),
             ..self.error(error.key, error.reason)
         }
     }
 
-    /// The value, if it is within the range.
+    /// Returns the value if it is within the range.
     pub(crate) fn check_range(
         &self,
         key: &str,
@@ -90,7 +90,7 @@
     }
 
     /// The line, from 1, of an offset in bytes.
-    fn line(&self, offset: usize) -> usize {
+    fn line_of(&self, offset: usize) -> usize {
         let bytes = self.text.bytes().take(offset);
         1 + bytes.filter(|&byte| byte == b'\n').count()
     }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,7 +1,7 @@
-//! The site file: the whole configuration of an appliance, in one TOML file with plain units.
+//! The site file: the whole configuration of an appliance, in one TOML file with human-readable
+//! units.
 //!
-//! Every value that cannot be used is reported with its file, line and key, and with what would be
-//! right.
+//! An error names the file, the line and the key, and states which values are valid.
 //!
 //! ```
 //! let text = r#"
@@ -17,8 +17,8 @@
 //! let config = pumiceway_site::read(text, "site.toml")?;
 //! assert_eq!(config.deployment.classes[0].deadline_us, 20_000_000);
 //!
-//! let wrong = text.replace("20 s", "20 sacks");
-//! let error = pumiceway_site::read(&wrong, "site.toml").unwrap_err().to_string();
+//! let invalid = text.replace("20 s", "20 sacks");
+//! let error = pumiceway_site::read(&invalid, "site.toml").unwrap_err().to_string();
 //! assert!(error.starts_with("site.toml, line 9: classes.booking-import.deadline: "), "{error}");
 //! # Ok::<(), pumiceway_site::SiteError>(())
 //! ```
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read, or what is wrong with it.
+/// The file cannot be read, or is not a valid site file.
 pub fn read_file(file: &Path) -> Result<Config, SiteError> {
     let name = file.display().to_string();
     match std::fs::read_to_string(file) {
@@ -49,7 +49,7 @@
             file: name,
             line: None,
             key: String::new(),
-            reason: format!("{error}; `pumiceway init` writes one"),
+            reason: format!("{error}; `pumiceway init` creates a site file"),
         }),
     }
 }
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the text.
+/// The text is not a valid site file.
 pub fn read(text: &str, file: &str) -> Result<Config, SiteError> {
     let source = Source { text, file };
     let site = config::parse_toml(text).map_err(|error| source.toml_error(error))?;
--- a/crates/site/src/schema.rs
+++ b/crates/site/src/schema.rs
@@ -1,7 +1,7 @@
 //! The keys of a site file, and their defaults.
 //!
-//! Fields have the names of the keys; [`convert`](crate::convert) checks the values and gives them
-//! the terms of the settings.
+//! The `rename` attributes give the keys that differ from the terms of the settings.
+//! [`convert`](crate::convert) checks the values.
 
 use crate::units::{Address, ByteSize, HumanDuration};
 use serde::Deserialize;
@@ -44,42 +44,53 @@
     pub(crate) gearman: Option<Address>,
 }
 
+/// Whether a job that may have run may run again.
 #[derive(Clone, Copy, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub(crate) enum Repeat {
-    Safe,
-    Never,
+    #[serde(rename = "safe")]
+    Idempotent,
+    #[serde(rename = "never")]
+    NonIdempotent,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Class {
-    pub(crate) repeat: Repeat,
-    pub(crate) wanted: Spanned<HumanDuration>,
+    #[serde(rename = "repeat")]
+    pub(crate) repeats: Repeat,
+    #[serde(rename = "wanted")]
+    pub(crate) latency_objective: Spanned<HumanDuration>,
     pub(crate) deadline: Spanned<HumanDuration>,
-    pub(crate) wait: Option<Spanned<HumanDuration>>,
-    #[serde(default = "default_stretch")]
-    pub(crate) stretch: Spanned<f64>,
-    #[serde(default = "one")]
-    pub(crate) worth: Spanned<f64>,
+    #[serde(rename = "wait")]
+    pub(crate) max_queue_time: Option<Spanned<HumanDuration>>,
+    #[serde(default = "default_objective_stretch", rename = "stretch")]
+    pub(crate) objective_stretch: Spanned<f64>,
+    #[serde(default = "default_priority_weight", rename = "worth")]
+    pub(crate) priority_weight: Spanned<f64>,
 }
 
-fn default_stretch() -> Spanned<f64> {
-    unwritten(0.0)
+fn default_objective_stretch() -> Spanned<f64> {
+    without_span(0.0)
 }
 
-fn one() -> Spanned<f64> {
-    unwritten(1.0)
+fn default_priority_weight() -> Spanned<f64> {
+    without_span(1.0)
 }
 
+/// A Gearman function.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Function {
     pub(crate) class: Spanned<String>,
-    #[serde(default = "one")]
+    #[serde(default = "default_slots")]
     pub(crate) slots: Spanned<f64>,
 }
 
+fn default_slots() -> Spanned<f64> {
+    without_span(1.0)
+}
+
+/// An endpoint that is called over HTTP.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Worker {
@@ -91,8 +102,10 @@
 pub(crate) struct Limits {
     pub(crate) connections: Spanned<usize>,
     pub(crate) jobs: Spanned<usize>,
-    pub(crate) waiting: Spanned<usize>,
-    pub(crate) tries: Spanned<usize>,
+    #[serde(rename = "waiting")]
+    pub(crate) max_queued: Spanned<usize>,
+    #[serde(rename = "tries")]
+    pub(crate) max_attempts: Spanned<usize>,
     pub(crate) sockets: Spanned<usize>,
     pub(crate) memory: Spanned<ByteSize>,
 }
@@ -100,21 +113,23 @@
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            connections: unwritten(64),
-            jobs: unwritten(256),
-            waiting: unwritten(256),
-            tries: unwritten(6),
-            sockets: unwritten(1_024),
-            memory: unwritten(ByteSize(192 << 20)),
+            connections: without_span(64),
+            jobs: without_span(256),
+            max_queued: without_span(256),
+            max_attempts: without_span(6),
+            sockets: without_span(1_024),
+            memory: without_span(ByteSize(192 << 20)),
         }
     }
 }
 
+/// The limits of the idempotency cache.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Keep {
     pub(crate) time: HumanDuration,
-    pub(crate) answers: Spanned<usize>,
+    #[serde(rename = "answers")]
+    pub(crate) max_responses: Spanned<usize>,
     pub(crate) bytes: ByteSize,
 }
 
@@ -122,13 +137,13 @@
     fn default() -> Keep {
         Keep {
             time: HumanDuration(Duration::from_secs(600)),
-            answers: unwritten(10_000),
+            max_responses: without_span(10_000),
             bytes: ByteSize(16 << 20),
         }
     }
 }
 
-/// A default, which has no place in the file.
-fn unwritten<T>(value: T) -> Spanned<T> {
+/// A default value, which has no position in the file.
+fn without_span<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
--- a/crates/site/src/template.rs
+++ b/crates/site/src/template.rs
@@ -1,6 +1,6 @@
-//! The site file that `init` writes: every key, with a comment on what it does.
+//! The site file that `init` writes, with comments that explain its keys.
 //!
-//! Keys with a default are written as comments, with the default as their value.
+//! Keys that have a default are commented out, with the default as their value.
 
 use std::net::SocketAddr;
 
@@ -20,9 +20,9 @@
 /// One class of jobs.
 #[derive(Clone, Debug)]
 pub struct ClassAnswer {
-    /// Its name, and that of its Gearman function.
+    /// The name of the class, and of its Gearman function.
     pub name: String,
-    /// A job may run again.
+    /// Whether a job of the class may run again.
     pub idempotent: bool,
 }
 
@@ -131,7 +131,7 @@
     )
 }
 
-/// A TOML string.
+/// The text as a quoted TOML string.
 fn quoted(text: &str) -> String {
     toml::Value::from(text).to_string()
 }
--- a/crates/site/src/units.rs
+++ b/crates/site/src/units.rs
@@ -1,4 +1,4 @@
-//! Values in plain units. The error of each says what would be right.
+//! Values with human-readable units. Their errors state the expected form.
 
 use serde::de::{Deserialize, Deserializer, Error};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 pub(crate) struct HumanDuration(pub(crate) Duration);
 
 impl HumanDuration {
-    /// In microseconds, the unit of the deployment settings.
+    /// The duration in microseconds, as in the deployment settings.
     pub(crate) fn as_micros(self) -> u64 {
         u64::try_from(self.0.as_micros()).unwrap_or(u64::MAX)
     }
@@ -31,7 +31,7 @@
 
 impl ByteSize {
     fn parse(text: &str) -> Option<ByteSize> {
-        // Without a unit, the library takes the number for bytes.
+        // Rejected here, since `bytesize` reads a number without a unit as bytes.
         if !text.ends_with(|last: char| last.is_ascii_alphabetic()) {
             return None;
         }
@@ -50,7 +50,7 @@
     }
 }
 
-/// An address to listen at or to connect to.
+/// An address to listen on or to connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Address(pub(crate) SocketAddr);
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Reads a value that is written as text. The error quotes the value and says what it is expected
-/// to look like.
+/// Parses a value that is written as a string. The error quotes the value and states the expected
+/// form.
 fn deserialize_text<'de, D: Deserializer<'de>, T>(
     deserializer: D,
     expected: &str,
--- a/crates/site/tests/old_site_file.rs
+++ b/crates/site/tests/old_site_file.rs
@@ -1,5 +1,6 @@
-//! A site file that `pumiceway init --yes` wrote before the program was renamed throughout. The
-//! expected values are those that the program of that time read from it.
+//! Compatibility with site files of earlier versions. `fixtures/site-v1.toml` was written by
+//! `pumiceway init --yes` of such a version, and the expected values are those that it read from
+//! the file.
 
 use pumiceway_decisions::api::{
     Class, ClassId, Idempotency, LoadReportSource, Prices, Settings, ZoneId,
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_site_file_of_the_old_program_is_read_to_the_same_settings() {
+fn a_site_file_of_an_earlier_version_is_read_to_the_same_settings() {
     let config = read_fixture();
     assert_eq!(config.settings, expected_settings());
     assert_eq!(config.gearman, Some(expected_gearman()));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_site_file_of_the_old_program_is_read_to_the_same_listeners_and_limits() {
+fn a_site_file_of_an_earlier_version_is_read_to_the_same_listeners_and_limits() {
     let config = read_fixture();
     assert_eq!(config.name, "pumiceway");
     assert_eq!(config.listen, "127.0.0.1:3000".parse().unwrap());
@@ -131,9 +132,9 @@
     assert!(list.endpoints.is_empty());
 }
 
-/// The program may word the comments anew; the values that it writes stay.
+/// The comments in the template may change, but the values must not.
 #[test]
-fn the_template_still_writes_the_values_of_the_old_program() {
+fn the_template_has_the_same_values_as_in_the_earlier_version() {
     let values = |text: &str| -> toml::Table { text.parse().unwrap() };
     let old = std::fs::read_to_string(FIXTURE).unwrap();
     let new = pumiceway_site::template(&pumiceway_site::Answers::default());
--- a/crates/site/tests/site.rs
+++ b/crates/site/tests/site.rs
@@ -1,10 +1,10 @@
-//! The site file: its values, its defaults, and the errors of files that cannot be used.
+//! The site file: its values, its defaults, and the errors of invalid files.
 
 use pumiceway_decisions::settings::RepeatSemantics;
 use pumiceway_site::{Answers, read, template};
 use std::time::Duration;
 
-const GOOD: &str = r#"name = "inn"
+const VALID: &str = r#"name = "inn"
 
 [listen]
 http = "127.0.0.1:0"
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_site_file_configures_the_dispatcher() {
-    let config = read(GOOD, "site.toml").unwrap();
+    let config = read(VALID, "site.toml").unwrap();
     let [import, push] = &config.deployment.classes[..] else {
         panic!("two classes")
     };
@@ -56,7 +56,7 @@
         ),
         (1_500_000, 20_000_000, Some(5_000_000))
     );
-    // A class waits until its deadline unless the file says otherwise.
+    // The longest time in the queue is the deadline, unless `wait` is set.
     assert_eq!(
         (push.max_queue_time_us, push.objective_stretch),
         (Some(10_000_000), Some(2.5))
@@ -80,8 +80,8 @@
 
 #[test]
 #[allow(clippy::too_many_lines)] // a table of errors
-fn every_error_names_file_line_key_and_what_would_be_right() {
-    for (good, bad, line, key, right) in [
+fn every_error_names_file_line_key_and_the_valid_values() {
+    for (valid, invalid, line, key, expected) in [
         (
             "name = \"inn\"",
             "nome = \"inn\"",
@@ -164,14 +164,14 @@
             "wait = \"21 s\"",
             Some(18),
             "classes.booking-import.wait",
-            "its deadline",
+            "no longer than the deadline",
         ),
         (
             "class = \"rate-push\"",
             "class = \"rates\"",
             Some(21),
             "functions.push.class",
-            "there is booking-import, rate-push",
+            "the classes are booking-import, rate-push",
         ),
         (
             "address = \"127.0.0.1:8080\"",
@@ -210,18 +210,22 @@
             "letters",
         ),
     ] {
-        let text = GOOD.replacen(good, bad, 1);
-        assert_ne!(text, GOOD, "{good}");
+        let text = VALID.replacen(valid, invalid, 1);
+        assert_ne!(text, VALID, "{valid}");
         let error = read(&text, "site.toml")
             .err()
-            .unwrap_or_else(|| panic!("{bad:?} is accepted"));
+            .unwrap_or_else(|| panic!("{invalid:?} is accepted"));
         let message = error.to_string();
-        assert_eq!((error.line, &*error.key), (line, key), "{bad}: {message}");
+        assert_eq!(
+            (error.line, &*error.key),
+            (line, key),
+            "{invalid}: {message}"
+        );
         assert!(
-            error.reason.contains(right)
+            error.reason.contains(expected)
                 && !message.contains('\n')
                 && message.starts_with("site.toml"),
-            "{bad}: {message}"
+            "{invalid}: {message}"
         );
     }
     let without_classes = read("[listen]\nhttp = \"127.0.0.1:0\"\n", "site.toml").unwrap_err();
@@ -231,7 +235,7 @@
     );
 }
 
-/// The text with its commented defaults as values.
+/// The text of a template with its commented defaults as values.
 fn uncomment_defaults(text: &str) -> String {
     let is_default = |line: &&str| {
         line.contains(" = ")
@@ -254,8 +258,8 @@
         uncommented.contains("\nwaiting = 256") && uncommented.contains("\nwait = \"20 s\""),
         "{uncommented}"
     );
-    let written_out = read(&uncommented, "site.toml").unwrap();
-    assert_eq!(written_out.gearman, defaults.gearman);
-    assert_eq!(written_out.socket_budget, defaults.socket_budget);
-    assert_eq!(written_out.settings, defaults.settings);
+    let explicit = read(&uncommented, "site.toml").unwrap();
+    assert_eq!(explicit.gearman, defaults.gearman);
+    assert_eq!(explicit.socket_budget, defaults.socket_budget);
+    assert_eq!(explicit.settings, defaults.settings);
 }
