--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,7 +1,7 @@
-//! The cost of the durable record: syncs a second of this disk, changes a second with and without
-//! group commit, the time until a change is durable, and the time to load many open records. Run
-//! with `cargo bench -p pumiceway-store`; the files are created in the target directory, since the
-//! temporary directory may be in memory.
+//! Benchmarks of the store: syncs per second of the disk, jobs per second at several levels of
+//! concurrency (with one job at a time there is no group commit), the time until a change is
+//! durable, and the time to load many open records. Run with `cargo bench -p pumiceway-store`. The
+//! files are created in the target directory, since the temporary directory may be in memory.
 
 use hdrhistogram::Histogram;
 use pumiceway_store::{
@@ -16,7 +16,7 @@
 
 type BenchResult = Result<(), Box<dyn std::error::Error>>;
 
-/// Changes of one job: accepted, sent, completed.
+/// The changes of one job: accepted, sent, completed.
 const CHANGES_PER_JOB: usize = 3;
 
 fn request(record: u64) -> AcceptedRequest {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The change of a job at this step.
+/// The change that a job makes at this step.
 fn job_change(record: u64, step: usize) -> Change {
     let operation = match step {
         0 => Operation::Accept(request(record)),
@@ -66,7 +66,7 @@
     written_at: Instant,
 }
 
-/// Writes changes and remembers those that are not durable.
+/// Writes changes and keeps those that are not durable yet.
 struct JobWriter {
     store: Store,
     sequence: u64,
@@ -85,13 +85,14 @@
         });
     }
 
+    /// Removes and returns the oldest pending change if its sequence number is at most `sequence`.
     fn take_durable(&mut self, sequence: u64) -> Option<PendingChange> {
         let is_durable = self.pending.front()?.sequence <= sequence;
         is_durable.then(|| self.pending.pop_front())?
     }
 }
 
-/// Runs `concurrent` jobs at a time; each writes its next change once the last one is durable.
+/// Runs `concurrent` jobs at a time. Each writes its next change once its previous one is durable.
 fn bench_jobs(directory: &Path, jobs: u64, concurrent: u64) -> BenchResult {
     let path = file(directory, &format!("jobs-{concurrent}"));
     let (sender, events) = channel();
@@ -134,11 +135,11 @@
     );
     drop(writer);
     let size = std::fs::metadata(&path)?.len();
-    println!("            file {size} bytes, {} a job", size / jobs);
+    println!("            file {size} bytes, {} per job", size / jobs);
     Ok(())
 }
 
-/// The time to load so many open records.
+/// Measures the time to load this number of open records.
 fn bench_load(directory: &Path, records: u64) -> BenchResult {
     let path = file(directory, &format!("open-{records}"));
     let (sender, events) = channel();
@@ -160,7 +161,7 @@
     Ok(())
 }
 
-/// The appends of 4 KiB with a sync that this disk does in a second.
+/// Measures how many appends of 4 KiB, each with a sync, the disk does per second.
 fn bench_disk(directory: &Path) -> BenchResult {
     const APPENDS: u32 = 200;
     let mut file = std::fs::File::create(directory.join("plain"))?;
@@ -170,7 +171,7 @@
         file.sync_data()?;
     }
     let per_second = f64::from(APPENDS) / start.elapsed().as_secs_f64();
-    println!("this disk: {per_second:.0} appends of 4 KiB with a sync a second");
+    println!("disk: {per_second:.0} appends of 4 KiB with a sync per second");
     Ok(())
 }
 
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -1,7 +1,6 @@
-//! The tables of the database: how records are loaded, and how changes are applied.
+//! The tables of the database: loads records and applies changes.
 //!
-//! The body of a request has a table of its own, so that it can be deleted without rewriting the
-//! request.
+//! Bodies have a separate table, so that a body can be deleted without rewriting its request.
 
 use crate::encoding::{compress, decode, decompress, encode};
 use crate::error::RecordError;
@@ -13,21 +12,21 @@
     WriteTransaction,
 };
 
-/// Requests without their bodies, by the number of the record.
+/// Requests without their bodies. The key of this and the next two tables is the record id.
 const REQUESTS: TableDefinition<u64, &[u8]> = TableDefinition::new("taken");
-/// Bodies of requests that are not completed.
+/// Bodies of the requests that are not completed.
 const BODIES: TableDefinition<u64, &[u8]> = TableDefinition::new("bodies");
-/// States of requests.
+/// States of the requests.
 const STATES: TableDefinition<u64, &[u8]> = TableDefinition::new("states");
 /// Properties of the file.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 
-/// The key of the format version in `META`.
+/// The key of the format version in [`META`].
 const FORMAT_KEY: &str = "format";
-/// The version of the rows. A file of another version is not changed.
+/// The format version of the rows. A file with another version is rejected, and not changed.
 const FORMAT_VERSION: u64 = 1;
 
-/// Loads all records.
+/// Loads all records; none from a new database.
 pub(crate) fn load(database: &Database) -> Result<Vec<StoredRequest>, RecordError> {
     let transaction = database.begin_read()?;
     if !check_format(&transaction)? {
@@ -55,7 +54,7 @@
     Ok(records)
 }
 
-/// Checks the version of the format; returns false if the database is new and has no tables.
+/// Checks the format version; returns false if the database is new and has no tables.
 fn check_format(transaction: &ReadTransaction) -> Result<bool, RecordError> {
     let meta = match transaction.open_table(META) {
         Ok(meta) => meta,
@@ -72,7 +71,7 @@
     }
 }
 
-/// Applies the changes in one transaction: all of them or none.
+/// Applies the changes in one transaction: either all or none are stored.
 pub(crate) fn apply<'a>(
     database: &Database,
     changes: impl Iterator<Item = &'a Change>,
@@ -91,7 +90,7 @@
     Ok(())
 }
 
-/// The tables of records, open for writing.
+/// The tables of the records, open for writing.
 struct Tables<'a> {
     requests: Table<'a, u64, &'static [u8]>,
     bodies: Table<'a, u64, &'static [u8]>,
@@ -157,7 +156,8 @@
         row.map(|row| decode(row.value())).transpose()
     }
 
-    /// A change that arrives after its record was deleted must not create half a record.
+    /// Sets the state of a record. Does nothing if the record was deleted, since a state without a
+    /// request would make the file invalid.
     fn set_state(&mut self, record: u64, state: &RequestState) -> Result<(), RecordError> {
         if self.requests.get(record)?.is_some() {
             self.states.insert(record, &encode(state)?[..])?;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -3,17 +3,17 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The store cannot be opened.
+/// Why the store cannot be opened.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StoreError {
     /// Another process has the file open.
-    #[error("{0}: another dispatcher is using it; stop that one, or name another folder")]
+    #[error("{0}: in use by another process; stop that process, or configure another directory")]
     InUse(PathBuf),
     /// The file is damaged, or was not written by this program.
     #[error(
-        "{file}: {source}. It was not touched. Jobs that must never run twice may stand in it: put \
-         the file aside only when somebody has looked after those of the last days"
+        "{file}: {source}. The file was not changed. It may hold jobs that must never run twice: \
+         before you move it away, check whether the jobs of the last days have run"
     )]
     Damaged {
         /// The file.
@@ -21,47 +21,47 @@
         /// What is wrong with it.
         source: RecordError,
     },
-    /// The disk does not serve the file.
+    /// The file or its directory cannot be read or created.
     #[error("{file}: {source}")]
     Io {
         /// The file.
         file: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Records cannot be read or written.
+/// Why records cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RecordError {
-    /// The database fails.
+    /// The database failed.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// A row has other fields than this program knows.
+    /// A row cannot be encoded, or has other fields than this version expects.
     #[error(transparent)]
     Encoding(#[from] postcard::Error),
     /// A row cannot be compressed or decompressed.
     #[error(transparent)]
     Compression(#[from] io::Error),
-    /// The first byte of a row is not known.
-    #[error("a row that is neither packed nor plain")]
+    /// The first byte of a row is not a known tag.
+    #[error("a row has an unknown tag")]
     UnknownRowTag,
-    /// The file was written by another version of the format.
-    #[error("its form is {found}, and this program knows {known}")]
+    /// The file has another format version.
+    #[error("the format version is {found}, but this program reads version {known}")]
     UnknownFormat {
         /// The version in the file.
         found: u64,
         /// The version that this program reads.
         known: u64,
     },
-    /// The file does not state the version of its format.
-    #[error("it has no form that this program knows")]
+    /// The file has no format version.
+    #[error("there is no format version")]
     MissingFormat,
     /// A record has a state, but no request.
-    #[error("record {record} has a state and nothing else")]
+    #[error("record {record} has a state, but no request")]
     MissingRequest {
-        /// The number of the record.
+        /// The id of the record.
         record: u64,
     },
 }
@@ -84,11 +84,11 @@
     redb::TransactionError
 );
 
-/// Changes cannot be written. They remain queued.
+/// Why changes cannot be written. They remain queued.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum WriteError {
-    /// The file cannot be opened again after a failure.
+    /// The file cannot be opened again after an earlier failure.
     #[error(transparent)]
     Open(#[from] StoreError),
     /// The changes cannot be committed.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,13 @@
-//! The durable record of accepted requests.
+//! The durable store of accepted requests.
 //!
-//! For each request with a unique id it holds the request, whether an attempt may have been sent,
-//! and the one final response. [`Store::start`] loads what is stored and starts a thread that
-//! writes. Changes are queued without waiting, and many of them share one sync to disk (group
-//! commit); [`StoreEvent::Durable`] reports how far they are on disk.
+//! A record holds a request with a unique id, whether an attempt may have been sent, and the final
+//! response. [`Store::start`] loads all records and starts the writing thread. Changes are queued
+//! without blocking, and many of them share one sync to disk (group commit);
+//! [`StoreEvent::Durable`] reports up to which one they are on disk.
 //!
-//! A write that fails loses nothing: the store reports [`StoreEvent::WriteFailed`], opens its file
-//! again every second, and writes all changes that are not durable, in order. Each change is
-//! idempotent.
+//! No change is lost if a write fails: the store reports [`StoreEvent::WriteFailed`], and once a
+//! second opens its file again and writes all changes that are not durable, in order. Changes are
+//! idempotent, so those that had reached the disk may be written again.
 
 mod database;
 mod encoding;
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening the file of the store.
+//! Opens the file of the store.
 
 use crate::error::StoreError;
 use redb::{Database, DatabaseError, StorageError};
@@ -6,21 +6,22 @@
 use std::os::unix::fs::DirBuilderExt;
 use std::path::{Path, PathBuf};
 
-/// Permissions of the directory that is created: its owner alone.
+/// The permissions of a directory that is created: access for its owner only.
 const DIRECTORY_MODE: u32 = 0o700;
 
-/// Opens the database; called again after each write that failed.
+/// A function that opens the database; called again after each failed write.
 pub type OpenDatabase = Box<dyn FnMut() -> Result<Database, StoreError> + Send>;
 
-/// Opens a file on disk. Its directory is created if it does not exist, for its owner alone.
+/// Opens a file on disk. Its directory is created if it does not exist, with access for its owner
+/// only.
 pub fn on_disk(file: PathBuf) -> OpenDatabase {
     Box::new(move || {
         create_directory(&file).map_err(|source| StoreError::Io {
             file: file.clone(),
             source,
         })?;
-        // `create` also opens an empty file, which a full disk leaves behind; `open` would report
-        // it as damaged for ever.
+        // A full disk can leave an empty file behind. `create` opens it, while `open` would always
+        // report it as damaged.
         Database::create(&file).map_err(|error| open_error(&file, error))
     })
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,32 +1,32 @@
-//! The stored types.
+//! The types of records and changes.
 //!
-//! Rows are encoded with postcard, by the order of fields and variants: their names may change,
-//! their order may not.
+//! The types in rows are encoded with postcard, which writes no names: fields and variants may be
+//! renamed, but not reordered.
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a record; grows with each accepted request.
+/// The id of a record; increases with each accepted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordId(pub u64);
 
 /// A request as it was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedRequest {
-    /// The unique id that the client gave it.
+    /// The unique id, which the client chose.
     pub unique_id: String,
     /// The name of its class.
     pub class: String,
-    /// When it was accepted, in Unix microseconds.
+    /// When the request was accepted, in microseconds since the Unix epoch.
     pub accepted_at_us: u64,
-    /// The remaining time at that moment, in microseconds.
+    /// The remaining time when it was accepted, in microseconds.
     pub remaining_us: u64,
     /// The slots that it occupies at an endpoint.
     pub slots: f64,
     /// The memory that it occupies at an endpoint.
     pub memory: f64,
-    /// The id under which it is sent to endpoints.
+    /// The request id that endpoints receive.
     pub id: String,
-    /// Path and query.
+    /// The path and the query.
     pub path: String,
     /// The body; deleted once the request is completed.
     pub body: Vec<u8>,
@@ -35,22 +35,22 @@
 /// The state of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RequestState {
-    /// Accepted, and certainly at no endpoint.
+    /// Accepted, and no attempt can have reached an endpoint.
     Queued,
-    /// It may have reached an endpoint.
+    /// An attempt may have reached an endpoint.
     InFlight,
-    /// It has its final response.
+    /// The request has its final response.
     Completed(Completion),
 }
 
 /// The final response to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
-    /// When the request was completed, in Unix microseconds.
+    /// When the request was completed, in microseconds since the Unix epoch.
     pub completed_at_us: u64,
     /// The response.
     pub response: StoredResponse,
-    /// The job may have run, must not run again, and no operator has checked yet whether it did.
+    /// Whether the job may have run, must not run again, and no operator has checked yet if it ran.
     pub in_doubt: bool,
 }
 
@@ -68,11 +68,11 @@
 pub struct Change {
     /// The record.
     pub record: RecordId,
-    /// What happens to it.
+    /// What is done to it.
     pub operation: Operation,
 }
 
-/// What happens to a record.
+/// What a change does to a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
     /// The request is accepted.
@@ -92,10 +92,10 @@
 /// A record as it was loaded. The body of a completed request is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredRequest {
-    /// Its number.
+    /// The id of the record.
     pub record: RecordId,
     /// The request.
     pub request: AcceptedRequest,
-    /// Its state.
+    /// The state of the request.
     pub state: RequestState,
 }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writing thread: group commit, and retries after a write that failed.
+//! The writing thread: group commit, and retries after a failed write.
 
 use crate::database;
 use crate::error::{StoreError, WriteError};
@@ -11,14 +11,14 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Changes that may wait for the thread.
+/// The number of changes that the queue to the thread holds.
 const QUEUE_CAPACITY: usize = 8_192;
-/// Changes that share one sync to disk.
-const MAX_GROUP: usize = 1_024;
-/// The time between a write that failed and the next one.
+/// The maximum number of changes that share one sync to disk.
+const MAX_GROUP_SIZE: usize = 1_024;
+/// The time between a failed write and the next attempt.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the store reports.
+/// An event that the store reports.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum StoreEvent {
@@ -30,8 +30,8 @@
     Recovered,
 }
 
-/// A store that accepts changes. On drop, it writes the changes that are queued, if the disk
-/// permits, and ends its thread.
+/// A store that accepts changes. On drop, it writes the queued changes, unless the disk fails, and
+/// stops its thread.
 pub struct Store {
     changes: Option<SyncSender<NumberedChange>>,
     thread: Option<JoinHandle<()>>,
@@ -43,8 +43,8 @@
 }
 
 impl Store {
-    /// Opens the database and loads its records. From then on `report` is called from the writing
-    /// thread. Errors name `file`.
+    /// Opens the database, loads its records and starts the writing thread, which calls `report`.
+    /// Errors name `file`.
     ///
     /// # Errors
     ///
@@ -76,9 +76,10 @@
         Ok((store, records))
     }
 
-    /// Queues a change without waiting; [`StoreEvent::Durable`] refers to its sequence number.
-    /// Returns false if the queue is full, and then the change is not written: the disk is far too
-    /// slow, or has been failing for long.
+    /// Queues a change without blocking. [`StoreEvent::Durable`] refers to its sequence number.
+    ///
+    /// Returns false if the queue is full, because the disk is much too slow or has failed for a
+    /// long time. The change is then not written.
     pub fn write(&self, sequence: u64, change: Change) -> bool {
         self.changes.as_ref().is_some_and(|changes| {
             changes
@@ -99,17 +100,17 @@
 
 /// Whether more changes can arrive.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Queue {
+enum QueueState {
     Open,
     Closed,
 }
 
 struct Writer<R> {
-    /// `None` after a failure: nothing that the open database holds in memory can be trusted then.
+    /// `None` after a failure, since the state of the open database in memory may then be wrong.
     database: Option<Database>,
     open: OpenDatabase,
     queue: Receiver<NumberedChange>,
-    /// Changes that are not known to be on disk, in order.
+    /// Changes that are not known to be on disk, in order of their sequence numbers.
     pending: VecDeque<NumberedChange>,
     report: R,
     is_failing: bool,
@@ -118,37 +119,39 @@
 impl<R: Fn(StoreEvent)> Writer<R> {
     fn run(mut self) {
         loop {
-            let queue = self.receive();
+            let queue_state = self.receive();
             if !self.pending.is_empty() {
                 self.write_pending();
             }
-            // With the queue closed, changes that cannot be written now are lost with the process.
-            if queue == Queue::Closed && (self.pending.is_empty() || self.is_failing) {
+            // Once the queue is closed, a failed write is not retried, and its changes are lost.
+            if queue_state == QueueState::Closed && (self.pending.is_empty() || self.is_failing) {
                 return;
             }
         }
     }
 
-    /// Moves queued changes to the pending ones, waiting for the first.
-    fn receive(&mut self) -> Queue {
+    /// Moves queued changes to the pending ones. Waits for the first one if none is pending, or for
+    /// the retry interval if the last write failed.
+    fn receive(&mut self) -> QueueState {
         if self.is_failing {
             std::thread::sleep(RETRY_INTERVAL);
         } else if self.pending.is_empty() {
             match self.queue.recv() {
                 Ok(first) => self.pending.push_back(first),
-                Err(RecvError) => return Queue::Closed,
+                Err(RecvError) => return QueueState::Closed,
             }
         }
-        while self.pending.len() < MAX_GROUP {
+        while self.pending.len() < MAX_GROUP_SIZE {
             match self.queue.try_recv() {
                 Ok(next) => self.pending.push_back(next),
                 Err(TryRecvError::Empty) => break,
-                Err(TryRecvError::Disconnected) => return Queue::Closed,
+                Err(TryRecvError::Disconnected) => return QueueState::Closed,
             }
         }
-        Queue::Open
+        QueueState::Open
     }
 
+    /// Commits the pending changes and reports the result.
     fn write_pending(&mut self) {
         match self.commit() {
             Ok(sequence) => {
@@ -166,7 +169,8 @@
         }
     }
 
-    /// Commits the pending changes; returns the sequence number of the last one.
+    /// Commits the pending changes, and opens the database before if it is not open. Returns the
+    /// sequence number of the last change.
     fn commit(&mut self) -> Result<u64, WriteError> {
         let database = match self.database.take() {
             Some(database) => database,
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Records for the tests of the store.
+//! Records and changes that the tests of the store use.
 
 use pumiceway_store::{
     AcceptedRequest, Change, Completion, Operation, RecordId, RequestState, StoredRequest,
@@ -9,7 +9,7 @@
 /// Requests and their states, by record.
 pub type Records = BTreeMap<RecordId, (AcceptedRequest, RequestState)>;
 
-/// The loaded records by number.
+/// The loaded records, by their ids.
 pub fn records_of(loaded: Vec<StoredRequest>) -> Records {
     loaded
         .into_iter()
@@ -17,7 +17,7 @@
         .collect()
 }
 
-/// A request of this number; the length of its body grows with it.
+/// The request of the record with this id. The length of its body grows with the id.
 pub fn request(record: u64) -> AcceptedRequest {
     AcceptedRequest {
         unique_id: format!("imports\0{record}"),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The completion of this request: even ones are served, odd ones are in doubt.
+/// The completion of the record with this id: even ones are served, odd ones are in doubt.
 pub fn completion(record: u64) -> Completion {
     let response = if record.is_multiple_of(2) {
         StoredResponse::Served("made ".repeat(record as usize).into_bytes())
@@ -46,7 +46,7 @@
     }
 }
 
-/// A change to this record.
+/// A change to the record with this id.
 pub fn change(record: u64, operation: Operation) -> Change {
     Change {
         record: RecordId(record),
@@ -54,7 +54,7 @@
     }
 }
 
-/// The change that accepts the request of this number.
+/// The change that accepts the request of the record with this id.
 pub fn accept(record: u64) -> Change {
     change(record, Operation::Accept(request(record)))
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! The store on a disk that fails: refused writes and syncs, a full disk, and a power cut at any
+//! The store on a failing disk: writes and syncs that fail, a full disk, and a power cut at any
 //! step.
 
 mod common;
@@ -19,7 +19,7 @@
 /// How long a test waits for an event of the store.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A disk in memory. What was not synced is lost, in part, at a power cut.
+/// A simulated disk in memory. A power cut loses some of the writes that were not synced.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<DiskState>>);
 
@@ -27,14 +27,14 @@
 struct DiskState {
     current: Vec<u8>,
     synced: Vec<u8>,
-    /// Writes since the last sync.
+    /// The writes since the last sync.
     unsynced: Vec<UnsyncedWrite>,
     syncs: usize,
-    /// Operations that change the disk.
+    /// The number of operations so far that change the disk.
     steps: usize,
-    /// The power is cut after this step.
+    /// After so many steps the power is cut, and all further ones fail.
     power_cut_after: Option<usize>,
-    /// Steps that fail from now on.
+    /// The number of steps that fail from now on.
     failing_steps: usize,
     /// The capacity of the disk, in bytes.
     capacity: Option<usize>,
@@ -47,6 +47,7 @@
 }
 
 impl DiskState {
+    /// Counts an operation; fails if the power is cut or the operation is to fail.
     fn step(&mut self) -> io::Result<()> {
         self.steps += 1;
         if self.power_cut_after.is_some_and(|end| self.steps > end) {
@@ -54,7 +55,7 @@
         }
         if self.failing_steps > 0 {
             self.failing_steps -= 1;
-            return Err(io::Error::other("refused"));
+            return Err(io::Error::other("injected failure"));
         }
         Ok(())
     }
@@ -106,26 +107,26 @@
 }
 
 impl Disk {
-    fn set(&self, change: impl FnOnce(&mut DiskState)) {
+    fn configure(&self, change: impl FnOnce(&mut DiskState)) {
         change(&mut self.0.lock().unwrap());
     }
 
     fn open(&self) -> OpenDatabase {
         let disk = self.clone();
         Box::new(move || {
-            let failed = |error: redb::DatabaseError| StoreError::Io {
+            let open_error = |error: redb::DatabaseError| StoreError::Io {
                 file: "disk".into(),
                 source: io::Error::other(error),
             };
             Database::builder()
                 .create_with_backend(disk.clone())
-                .map_err(failed)
+                .map_err(open_error)
         })
     }
 
-    /// The disk after a power cut: of the writes that were not synced, every `survivor`-th is
-    /// there (none with 0), and of the very last one only half.
-    fn after_power_cut(&self, survivor: usize) -> Disk {
+    /// The disk after a power cut: of the writes that were not synced, every `kept`-th one survives
+    /// (none with 0), and of the last write only the first half.
+    fn after_power_cut(&self, kept: usize) -> Disk {
         let disk = self.0.lock().unwrap();
         let mut current = disk.synced.clone();
         current.resize(disk.current.len().max(current.len()), 0);
@@ -133,7 +134,7 @@
             .unsynced
             .iter()
             .enumerate()
-            .filter(|(index, _)| survivor > 0 && index % survivor == 0)
+            .filter(|(index, _)| kept > 0 && index % kept == 0)
         {
             let length = if index + 1 == disk.unsynced.len() {
                 write.data.len() / 2
@@ -159,8 +160,8 @@
     (store, records, events)
 }
 
-/// The changes to one record, in order.
-fn history(record: u64) -> Vec<Change> {
+/// All changes to one record, in order.
+fn changes_of(record: u64) -> Vec<Change> {
     let mut changes = vec![
         accept(record),
         change(record, Operation::Send),
@@ -176,8 +177,8 @@
     changes
 }
 
-/// The records that these changes must lead to.
-fn model<'a>(changes: impl IntoIterator<Item = &'a Change>) -> Records {
+/// The records that these changes must result in.
+fn expected_records<'a>(changes: impl IntoIterator<Item = &'a Change>) -> Records {
     let mut records = BTreeMap::new();
     for Change { record, operation } in changes {
         match operation.clone() {
@@ -216,12 +217,12 @@
     received
 }
 
-/// A run of changes on a disk whose power may be cut.
+/// The result of writing changes to a disk whose power may be cut.
 struct Run {
     disk: Disk,
-    /// Changes that were reported as durable.
+    /// The number of changes that were reported as durable.
     durable: usize,
-    /// The power was cut while changes were written.
+    /// Whether the power was cut while changes were written, rather than before.
     cut_while_writing: bool,
 }
 
@@ -231,9 +232,9 @@
         durable: 0,
         cut_while_writing: false,
     };
-    // The file itself exists before.
+    // The file is created before the power can be cut.
     drop(start(run.disk.open()));
-    run.disk.set(|disk| {
+    run.disk.configure(|disk| {
         disk.steps = 0;
         disk.power_cut_after = power_cut_after;
     });
@@ -262,41 +263,41 @@
 
 #[test]
 fn durable_changes_survive_a_power_cut_at_any_step() {
-    // Every step and three records with SOAK=1, which takes minutes.
+    // With SOAK set, which takes minutes: three records, and a power cut at every step.
     let soak = std::env::var_os("SOAK").is_some();
     let (records, stride) = if soak { (1..=3, 1) } else { (1..=2, 8) };
-    let changes: Vec<Change> = records.flat_map(history).collect();
-    let whole = run_until_power_cut(&changes, None);
-    assert_eq!(whole.durable, changes.len());
-    let steps = whole.disk.0.lock().unwrap().steps;
+    let changes: Vec<Change> = records.flat_map(changes_of).collect();
+    let uninterrupted = run_until_power_cut(&changes, None);
+    assert_eq!(uninterrupted.durable, changes.len());
+    let steps = uninterrupted.disk.0.lock().unwrap().steps;
     assert!(steps > 50, "{steps}");
     let mut cuts_while_writing = 0;
     for step in (0..steps).step_by(stride) {
         let run = run_until_power_cut(&changes, Some(step));
         let durable = run.durable;
         cuts_while_writing += usize::from(run.cut_while_writing);
-        for survivor in [0, 1, 3] {
-            let (_store, loaded, _) = start(run.disk.after_power_cut(survivor).open());
+        for kept in [0, 1, 3] {
+            let (_store, loaded, _) = start(run.disk.after_power_cut(kept).open());
             let found = records_of(loaded);
-            // The change that was being written may be there or not; nothing else may differ.
-            let good = [durable, durable + 1]
+            // The change that was being written may or may not be stored; nothing else may differ.
+            let is_consistent = [durable, durable + 1]
                 .iter()
-                .any(|&count| found == model(&changes[..count.min(changes.len())]));
+                .any(|&count| found == expected_records(&changes[..count.min(changes.len())]));
             assert!(
-                good,
-                "power cut at step {step}, {durable} durable, every {survivor}th write: {found:?}"
+                is_consistent,
+                "power cut at step {step}, {durable} durable, every {kept}th write kept: {found:?}"
             );
         }
     }
     assert!(
         cuts_while_writing > 4,
-        "the power was cut while changes were written {cuts_while_writing} times only"
+        "the power was cut only {cuts_while_writing} times while changes were written"
     );
 }
 
 #[test]
-fn changes_that_cannot_be_written_are_written_once_the_disk_recovers() {
-    let changes: Vec<Change> = (1..=6).flat_map(history).collect();
+fn changes_that_fail_to_be_written_are_written_once_the_disk_recovers() {
+    let changes: Vec<Change> = (1..=6).flat_map(changes_of).collect();
     for full in [false, true] {
         let disk = Disk::default();
         let (store, _, events) = start(disk.open());
@@ -309,21 +310,21 @@
             ..request(99)
         };
         if full {
-            disk.set(|disk| disk.capacity = Some(disk.current.len()));
+            disk.configure(|disk| disk.capacity = Some(disk.current.len()));
         } else {
-            disk.set(|disk| disk.failing_steps = 1);
+            disk.configure(|disk| disk.failing_steps = 1);
         }
         assert!(store.write(2, change(99, Operation::Accept(large.clone()))));
         assert!(matches!(events.recv().unwrap(), StoreEvent::WriteFailed(_)));
         for (index, change) in changes.iter().enumerate().skip(1) {
             assert!(store.write(index as u64 + 2, change.clone()));
         }
-        disk.set(|disk| disk.capacity = None);
+        disk.configure(|disk| disk.capacity = None);
         let received = receive_until_durable(&events, changes.len() as u64 + 1);
         assert!(matches!(received[0], StoreEvent::Recovered), "{received:?}");
         drop(store);
         let (_store, loaded, _) = start(disk.open());
-        let mut expected = model(&changes);
+        let mut expected = expected_records(&changes);
         expected.insert(pumiceway_store::RecordId(99), (large, RequestState::Queued));
         assert!(records_of(loaded) == expected, "full: {full}");
     }
@@ -333,7 +334,7 @@
 fn a_burst_of_changes_shares_few_syncs() {
     let disk = Disk::default();
     let (store, _, events) = start(disk.open());
-    // The disk is locked until all changes are queued, however fast it is.
+    // Locks the disk until all changes are queued, so that a fast disk does not sync in between.
     let locked = disk.0.lock().unwrap();
     let before = locked.syncs;
     for sequence in 1..=2_000 {
@@ -351,7 +352,7 @@
 }
 
 #[test]
-fn a_file_that_is_in_use_or_foreign_is_refused_and_not_changed() {
+fn a_file_that_is_in_use_or_not_a_store_is_rejected_and_not_changed() {
     let directory = temporary_directory("use");
     let file = directory.join("in/record.redb");
     let open = || Store::start(&file, on_disk(file.clone()), |_| {});
@@ -369,7 +370,7 @@
     assert!(matches!(error, StoreError::Damaged { .. }), "{error}");
     assert_eq!(std::fs::read(&file).unwrap(), before);
     std::fs::remove_file(&file).unwrap();
-    // The database of another program has another format version.
+    // A database with another format version.
     drop(Database::create(&file).map(|database| {
         let transaction = database.begin_write().unwrap();
         transaction
@@ -381,7 +382,7 @@
     }));
     let error = open().err().unwrap().to_string();
     assert!(
-        error.contains("its form is 2, and this program knows 1"),
+        error.contains("the format version is 2, but this program reads version 1"),
         "{error}"
     );
     std::fs::write(directory.join("flat"), "x").unwrap();
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The stored format. `fixtures/record-v1.redb` was written by the program as it was before its
-//! types were renamed; files like it must stay readable.
+//! Compatibility with files of earlier versions. `fixtures/record-v1.redb` was written before the
+//! stored types were renamed; such files must stay readable.
 
 use pumiceway_store::{
     AcceptedRequest, Change, Completion, Operation, RecordId, RequestState, Store, StoredRequest,
@@ -60,7 +60,7 @@
     stored(record, b"", RequestState::Completed(completion))
 }
 
-/// What the old program wrote. It had deleted record 7.
+/// The records in the fixture, from which record 7 was deleted.
 fn expected_records() -> Vec<StoredRequest> {
     let failed = || StoredResponse::Failed("may have run".to_owned());
     let served = StoredResponse::Served(b"made ".repeat(100));
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn records_of_the_old_program_are_loaded_unchanged() {
+fn records_of_an_earlier_version_are_loaded_unchanged() {
     let fixture = FixtureCopy::new("load");
     assert_eq!(load(&fixture.0), expected_records());
 }
 
-/// The rows of all tables of a file, in bytes.
+/// The rows of all tables of a file, as raw bytes.
 fn raw_rows(path: &Path) -> Vec<(String, u64, Vec<u8>)> {
     let database = Database::open(path).unwrap();
     let transaction = database.begin_read().unwrap();
@@ -102,7 +102,7 @@
     rows
 }
 
-/// The operations that lead to a record like this one.
+/// The operations that produce this record.
 fn operations(stored: StoredRequest) -> Vec<Operation> {
     let accept = Operation::Accept(stored.request);
     match stored.state {
@@ -115,9 +115,9 @@
 }
 
 #[test]
-fn rows_are_written_byte_for_byte_as_by_the_old_program() {
-    let fixture = FixtureCopy::new("rows-old");
-    let written = FixtureCopy::new("rows-new");
+fn rows_have_the_same_bytes_as_in_an_earlier_version() {
+    let fixture = FixtureCopy::new("rows-expected");
+    let written = FixtureCopy::new("rows-written");
     std::fs::remove_file(&written.0).unwrap();
     let (store, _) = Store::start(&written.0, on_disk(written.0.clone()), |_| {}).unwrap();
     let mut sequence = 0;
