--- a/crates/logging/src/filter.rs
+++ b/crates/logging/src/filter.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 
-/// Selects the lines that are written: a level, and levels of single targets, such as
+/// Selects the lines that are written: a default level, and levels for individual targets, such as
 /// `info,pumiceway_net::upstream=debug`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogFilter(Targets);
@@ -23,10 +23,10 @@
     }
 }
 
-/// A directive of a filter cannot be read.
+/// A directive of a filter is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{directive:?} is not a level (off, error, warn, info, debug or trace), nor part=level, \
+    "{directive:?} is not a level (off, error, warn, info, debug or trace), nor target=level, \
      as in info,pumiceway_net::upstream=debug"
 )]
 pub struct ParseFilterError {
@@ -45,8 +45,8 @@
     }
 }
 
-/// The parser of `Targets` is not used: it takes a mistyped level for the name of a target, and
-/// then enables every level of it.
+/// Adds a directive. The parser of `Targets` is not used, since it reads a mistyped level as the
+/// name of a target and enables all levels of that target.
 fn add_directive(targets: Targets, directive: &str) -> Result<Targets, ParseFilterError> {
     let error = || ParseFilterError {
         directive: directive.to_owned(),
--- a/crates/logging/src/format.rs
+++ b/crates/logging/src/format.rs
@@ -1,18 +1,18 @@
-//! The format of log lines: text for people, JSON for programs.
+//! The formats of log lines: text and JSON.
 
 use std::str::FromStr;
 
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people: time, level, target, message, and fields as `name=value`.
+    /// Human-readable: time, level, target, message, and fields as `name=value`.
     #[default]
     Text,
-    /// For programs: one JSON object a line, with the fields at its top level.
+    /// Machine-readable: one JSON object per line, with the fields at its top level.
     Json,
 }
 
-/// The name of a format is not known.
+/// The text is not the name of a format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is neither text nor json")]
 pub struct ParseFormatError(String);
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,10 +1,9 @@
-//! The log of the program, on `tracing`.
+//! The log of the process, written through `tracing`.
 //!
-//! Lines are written as text or as JSON, to standard error or to files that rotate. Three bounds
-//! always hold: a fault that repeats writes a limited number of lines a second ([`RateLimit`]),
-//! output that stalls never blocks the caller, and files have a limited total size
-//! ([`LogFiles`]). Dropped lines are counted, and the next line that is written is preceded by
-//! their number.
+//! Lines are written as text or JSON, to standard error or to rotating files. Three bounds always
+//! hold: a repeating fault logs a limited number of lines per second ([`RateLimit`]), stalled
+//! output never blocks the caller, and log files have a limited total size ([`LogFiles`]). Dropped
+//! lines are counted, and a notice with their number precedes the next line that is written.
 
 mod filter;
 mod format;
@@ -39,33 +38,33 @@
     pub sink: Sink,
     /// Which lines are written.
     pub filter: LogFilter,
-    /// How many lines are written.
+    /// How many lines are written per second.
     pub rate_limit: RateLimit,
 }
 
-/// The log cannot be started.
+/// Why the log cannot be started.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum LogError {
-    /// The file cannot be written.
-    #[error("{path}: the log can't be written there: {source}")]
+    /// The log file cannot be written.
+    #[error("{path}: cannot write the log: {source}")]
     File {
         /// The current log file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// This build has no support for log files.
-    #[error("{0}: this build writes its log to standard error only")]
+    #[error("{0}: this build does not support log files")]
     FilesUnsupported(PathBuf),
-    /// The process has a log already.
-    #[error("the process has a log already")]
+    /// The process already has a log.
+    #[error("the process already has a log")]
     AlreadyStarted,
 }
 
 type ReloadFilter = Box<dyn Fn(LogFilter) -> Result<(), reload::Error> + Send + Sync>;
 
-/// A running log. On drop, it writes the lines that are still queued, for at most a second.
+/// A running log. On drop, it waits for at most a second until the queued lines are written.
 pub struct Log {
     reload_filter: ReloadFilter,
     _guard: WorkerGuard,
@@ -76,8 +75,8 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be written, the build does not support files, or the process has a log
-    /// already.
+    /// The log file cannot be written, the build does not support log files, or the process already
+    /// has a log.
     pub fn start(options: Options) -> Result<Log, LogError> {
         let (output, guard) = options.sink.open()?;
         let writer = MakeLineWriter {
@@ -92,13 +91,14 @@
         Ok(log)
     }
 
-    /// Replaces the filter of the lines that follow.
+    /// Replaces the filter for all further lines.
     pub fn set_filter(&self, filter: LogFilter) {
-        // Fails only if the subscriber is gone, and then no lines follow.
+        // Fails only if the subscriber was dropped, and then there are no further lines.
         let _ = (self.reload_filter)(filter);
     }
 }
 
+/// Builds the subscriber that writes to `writer`, and the log that controls it.
 fn build(
     writer: MakeLineWriter,
     filter: LogFilter,
@@ -121,7 +121,7 @@
             .with_span_list(false)
             .boxed(),
     };
-    // The filter comes before the rate limit: a line that it rejects uses up no token.
+    // The filter is applied before the rate limit, so that lines it rejects use no tokens.
     let layer = layer.with_filter(rate_limit).with_filter(filter);
     let subscriber = tracing_subscriber::registry().with(layer);
     let log = Log {
--- a/crates/logging/src/line_writer.rs
+++ b/crates/logging/src/line_writer.rs
@@ -1,6 +1,7 @@
-//! The writer of the log's layer: hands each line to the writing thread.
+//! The writer of the `tracing` layer, which queues each line for the writing thread.
 //!
-//! If lines were dropped since the last one that was written, a line with their number goes first.
+//! If lines were dropped since the last one that was written, a notice with their number precedes
+//! the line.
 
 use crate::Format;
 use crate::non_blocking::NonBlocking;
@@ -23,7 +24,7 @@
     }
 }
 
-/// Writes one line, which the layer passes in a single call.
+/// Writes one line. The layer passes it in a single call to `write`.
 pub(crate) struct LineWriter<'a>(&'a MakeLineWriter);
 
 impl Write for LineWriter<'_> {
@@ -41,7 +42,7 @@
         let mut lines = dropped_notice(*format, dropped).into_bytes();
         lines.extend_from_slice(line);
         if !output.send(lines) {
-            // The notice was dropped as well, so the next one repeats its number.
+            // The notice was dropped as well, so its number is added to that of the next one.
             rate_limit.add_dropped(dropped);
         }
         Ok(line.len())
@@ -52,7 +53,7 @@
     }
 }
 
-/// The line that tells how many lines were dropped before the next one.
+/// The notice that lines were dropped.
 fn dropped_notice(format: Format, dropped: u64) -> String {
     match format {
         Format::Text => format!("({dropped} log lines dropped)\n"),
--- a/crates/logging/src/non_blocking.rs
+++ b/crates/logging/src/non_blocking.rs
@@ -1,7 +1,7 @@
-//! Output that never blocks the caller: a thread of its own writes the lines.
+//! Output that never blocks the caller, since a separate thread writes the lines.
 //!
-//! A terminal stopped with Ctrl-S, a pipe that nobody reads or a slow disk would otherwise stall
-//! the dispatcher. A line that finds the queue full is dropped and counted.
+//! Otherwise a terminal that is paused with Ctrl-S, a pipe that is not read or a slow disk would
+//! stall the dispatcher. If the queue is full, lines are dropped and counted.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,15 +9,16 @@
 use std::sync::mpsc::{self, Receiver, Sender, SyncSender, TrySendError};
 use std::time::Duration;
 
-/// Lines that may wait in the queue.
+/// The number of lines that the queue holds.
 const QUEUE_CAPACITY: usize = 1_024;
 
 enum Message {
     Line(Vec<u8>),
+    /// Ends the thread.
     Stop,
 }
 
-/// The sending half of the queue of lines.
+/// The sender of the queue of lines.
 #[derive(Clone)]
 pub(crate) struct NonBlocking {
     queue: SyncSender<Message>,
@@ -25,8 +26,8 @@
 }
 
 impl NonBlocking {
-    /// Starts a thread that writes to `output`. The guard waits for at most `flush_timeout` when
-    /// it is dropped.
+    /// Starts a thread that writes to `output`. On drop, the guard waits for at most
+    /// `flush_timeout` until the queued lines are written.
     pub(crate) fn start(
         output: impl Write + Send + 'static,
         flush_timeout: Duration,
@@ -43,7 +44,7 @@
         (NonBlocking { queue, dropped }, guard)
     }
 
-    /// Queues a line; returns false if the queue is full.
+    /// Queues a line; returns false, and counts it as dropped, if the queue is full.
     pub(crate) fn send(&self, line: Vec<u8>) -> bool {
         let result = self.queue.try_send(Message::Line(line));
         let is_full = matches!(result, Err(TrySendError::Full(_)));
@@ -53,21 +54,23 @@
         !is_full
     }
 
-    /// The lines that were dropped since the last call.
+    /// Returns how many lines were dropped since the last call.
     pub(crate) fn take_dropped(&self) -> u64 {
         self.dropped.swap(0, Ordering::Relaxed)
     }
 }
 
+/// Writes the lines of the queue until it is told to stop, then signals `done`.
 fn write_lines(mut output: impl Write, messages: Receiver<Message>, done: Sender<()>) {
     while let Ok(Message::Line(line)) = messages.recv() {
-        // A log that cannot be written has nowhere to report it.
+        // There is no other place to report that the log cannot be written.
         let _ = output.write_all(&line).and_then(|()| output.flush());
     }
     let _ = done.send(());
 }
 
-/// On drop, waits until the queued lines are written, within the flush timeout.
+/// Stops the thread on drop, and waits until the queued lines are written or the flush timeout is
+/// over.
 pub(crate) struct WorkerGuard {
     queue: SyncSender<Message>,
     done: Receiver<()>,
@@ -76,7 +79,7 @@
 
 impl Drop for WorkerGuard {
     fn drop(&mut self) {
-        // With a full queue the output is stalled, and there is no use in waiting for it.
+        // If the queue is full, the output is stalled, and waiting would not help.
         if self.queue.try_send(Message::Stop).is_ok() {
             let _ = self.done.recv_timeout(self.flush_timeout);
         }
--- a/crates/logging/src/rate_limit.rs
+++ b/crates/logging/src/rate_limit.rs
@@ -1,7 +1,7 @@
 //! The rate limit of log lines.
 //!
-//! A fault that repeats must not fill the disk. Token buckets admit a bounded number of lines a
-//! second, and lines that are not admitted are counted.
+//! A repeating fault must not fill the disk. Token buckets admit a limited number of lines per
+//! second, and lines that are not admitted are counted as dropped.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,12 +10,12 @@
 use tracing::{Event, Level, Metadata, Subscriber};
 use tracing_subscriber::layer::{Context, Filter};
 
-/// Lines a second that are admitted by default, in each bucket.
+/// The default number of lines per second that each bucket admits.
 const DEFAULT_LINES_PER_SECOND: f64 = 20.0;
-/// Lines that are admitted at once by default, in each bucket.
+/// The default number of lines that each bucket admits at once.
 const DEFAULT_BURST: f64 = 100.0;
 
-/// A token bucket, which is full at first.
+/// A token bucket, which is initially full.
 #[derive(Debug)]
 pub struct TokenBucket {
     tokens_per_second: f64,
@@ -25,7 +25,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds at most `capacity` tokens.
+    /// Creates a bucket that holds at most `capacity` tokens.
     pub const fn new(tokens_per_second: f64, capacity: f64) -> TokenBucket {
         TokenBucket {
             tokens_per_second,
@@ -55,8 +55,8 @@
     }
 }
 
-/// Limits the rate of log lines. Warnings and errors have a bucket of their own, so that lines of
-/// lower levels never crowd them out.
+/// Limits the rate of log lines. Warnings and errors have a separate bucket, so that lines of lower
+/// levels cannot use up their tokens.
 #[derive(Clone)]
 pub struct RateLimit(Arc<Buckets>);
 
@@ -67,7 +67,7 @@
 }
 
 impl Default for RateLimit {
-    /// 20 lines a second and 100 at once, in each bucket.
+    /// 20 lines per second and 100 at once, in each bucket.
     fn default() -> RateLimit {
         RateLimit::new(DEFAULT_LINES_PER_SECOND, DEFAULT_BURST)
     }
@@ -82,7 +82,7 @@
 }
 
 impl RateLimit {
-    /// A limit of so many lines a second, and `burst` lines at once, in each bucket.
+    /// Creates a limit of `lines_per_second`, and of `burst` lines at once, in each bucket.
     pub fn new(lines_per_second: f64, burst: f64) -> RateLimit {
         let bucket = || Mutex::new(TokenBucket::new(lines_per_second, burst));
         RateLimit(Arc::new(Buckets {
@@ -92,7 +92,7 @@
         }))
     }
 
-    /// The lines that were not admitted since the last call.
+    /// Returns how many lines were dropped since the last call.
     pub(crate) fn take_dropped(&self) -> u64 {
         self.0.dropped.swap(0, Ordering::Relaxed)
     }
@@ -102,20 +102,21 @@
         self.0.dropped.fetch_add(lines, Ordering::Relaxed);
     }
 
+    /// Whether a line of this level is admitted; counts it as dropped if not.
     fn admits(&self, level: Level, now: Instant) -> bool {
         let bucket = if level <= Level::WARN {
             &self.0.warnings
         } else {
             &self.0.lower_levels
         };
-        let admitted = bucket
+        let is_admitted = bucket
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
             .try_take(now);
-        if !admitted {
+        if !is_admitted {
             self.add_dropped(1);
         }
-        admitted
+        is_admitted
     }
 }
 
--- a/crates/logging/src/sink.rs
+++ b/crates/logging/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where the log goes: standard error, or files that rotate.
+//! The outputs of the log: standard error, or rotating files.
 
 use crate::LogError;
 use crate::non_blocking::{NonBlocking, WorkerGuard};
@@ -6,17 +6,17 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How long a log that is dropped waits for its last lines to be written.
+/// How long the log waits on drop until its queued lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Log files: the current one, and older ones with the suffixes `.1`, `.2` and so on.
+/// Rotating log files: the current one, and older ones with the suffixes `.1`, `.2` and so on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogFiles {
     /// The current file. Its directory is created if it does not exist.
     pub path: PathBuf,
-    /// A file that is larger than this is rotated, in bytes.
+    /// The size, in bytes, above which the current file is rotated.
     pub max_file_size: usize,
-    /// Older files that remain; the oldest is deleted first.
+    /// The number of older files that are kept; the oldest is deleted first.
     pub max_older_files: usize,
 }
 
@@ -26,7 +26,7 @@
     /// Standard error.
     #[default]
     Stderr,
-    /// Files that rotate.
+    /// Rotating files.
     Files(LogFiles),
 }
 
@@ -62,7 +62,8 @@
     ))
 }
 
-/// `FileRotate` reports a file that cannot be opened only on standard error, once for each line.
+/// Checks that the file can be opened for writing. `FileRotate` would only report a failure on
+/// standard error, once for each line.
 #[cfg(feature = "files")]
 fn check_writable(path: &std::path::Path) -> io::Result<()> {
     if let Some(directory) = path.parent() {
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of the log, its formats and its filter.
+//! Tests of the bounds, the formats and the filter of the log.
 
 use super::*;
 use crate::non_blocking::NonBlocking;
@@ -7,7 +7,7 @@
 #[cfg(feature = "files")]
 use std::time::Instant;
 
-/// Output that sends what is written to a channel.
+/// An output that sends everything that is written to a channel.
 struct ChannelWriter(mpsc::Sender<Vec<u8>>);
 
 impl io::Write for ChannelWriter {
@@ -21,7 +21,7 @@
     }
 }
 
-/// A subscriber and a log that write to this output.
+/// Builds a subscriber and a log that write to this output.
 fn build_log(
     format: Format,
     filter: LogFilter,
@@ -36,7 +36,7 @@
     build(writer, filter, guard)
 }
 
-/// The lines that are written while `run` is running.
+/// Returns the lines that are logged by `run`.
 fn lines_written(
     format: Format,
     filter: &str,
@@ -98,7 +98,7 @@
     assert_eq!(objects[2]["endpoint"], "w \"1\"\n");
 }
 
-/// Output whose first write blocks until the test unblocks it.
+/// An output whose first write blocks until the test unblocks it.
 struct StalledWriter {
     is_stalled: bool,
     unblocked: mpsc::Receiver<()>,
@@ -118,17 +118,17 @@
     }
 }
 
-/// What arrived at the output: the lines themselves, and the lines reported as dropped.
+/// Counts the lines that the output received, and those that notices report as dropped.
 #[derive(Default)]
-struct Arrived {
+struct Received {
     written: usize,
     dropped: usize,
     last_text: String,
 }
 
-impl Arrived {
-    fn receive(&mut self, received: &mpsc::Receiver<Vec<u8>>) {
-        let text = String::from_utf8(received.recv().unwrap()).unwrap();
+impl Received {
+    fn receive(&mut self, output: &mpsc::Receiver<Vec<u8>>) {
+        let text = String::from_utf8(output.recv().unwrap()).unwrap();
         let notice = text
             .strip_prefix('(')
             .and_then(|rest| rest.split_once(" log lines dropped)\n"));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn stalled_output_blocks_nobody_and_the_loss_is_reported() {
+fn stalled_output_does_not_block_and_dropped_lines_are_reported() {
     let (unblock, unblocked) = mpsc::channel::<()>();
     let (sender, received) = mpsc::channel();
     let stalled = StalledWriter {
@@ -156,21 +156,21 @@
     let (subscriber, log) = build_log(Format::Text, LogFilter::default(), unlimited, output);
     tracing::subscriber::with_default(subscriber, || {
         (0..5_000).for_each(|n| tracing::info!(n, "line"));
-        // Nothing has been written so far; from here on everything is.
+        // No line has been written so far. From here on, the output accepts all lines.
         drop(unblock);
-        // In whatever order the writing thread runs, each line is written, or counted before the
-        // next line that is written.
-        let mut arrived = Arrived::default();
-        while arrived.written < 1_024 {
-            arrived.receive(&received);
+        // Whenever the writing thread runs, each line is either written, or counted in a notice
+        // before the next line that is written.
+        let mut counts = Received::default();
+        while counts.written < 1_024 {
+            counts.receive(&received);
         }
         tracing::info!("after");
-        while !arrived.is_last_line() {
-            arrived.receive(&received);
+        while !counts.is_last_line() {
+            counts.receive(&received);
         }
-        let Arrived {
+        let Received {
             written, dropped, ..
-        } = arrived;
+        } = counts;
         assert_eq!(written + dropped, 5_000, "{written} written");
         assert!(dropped >= 3_900, "{dropped}");
     });
@@ -192,8 +192,8 @@
         },
     );
     assert_eq!(lines.len(), 2, "{lines:?}");
-    for bad in ["loud", "", "info,", "upstream=loud", "=info"] {
-        let error = bad.parse::<LogFilter>().unwrap_err().to_string();
+    for invalid in ["loud", "", "info,", "upstream=loud", "=info"] {
+        let error = invalid.parse::<LogFilter>().unwrap_err().to_string();
         assert!(
             error.contains("off, error, warn, info, debug or trace"),
             "{error}"
@@ -238,7 +238,7 @@
     };
     let error = Sink::Files(blocked).open().err().unwrap().to_string();
     assert!(
-        error.contains("b.log") && error.contains("can't be written"),
+        error.contains("b.log") && error.contains("cannot write the log"),
         "{error}"
     );
     std::fs::remove_dir_all(directory).unwrap();
