--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -92,7 +92,10 @@
         (&[BOOT, &class], "unknown class x"),
         (&[BOOT, worker], "unknown worker x:1"),
         (&[&zone], "unknown zone y"),
-        (&[&settings], "no attempt"),
+        (
+            &[&settings],
+            "the maximum number of attempts of a request is 0",
+        ),
         (&[BOOT, KNOCK, KNOCK], "came twice"),
     ];
     for (lines, expected) in cases {
