--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -97,7 +97,10 @@
         (&[START, &unknown_class], "unknown class x"),
         (&[START, unknown_endpoint], "unknown worker x:1"),
         (&[&unknown_zone], "unknown zone y"),
-        (&[&no_attempts], "no attempt"),
+        (
+            &[&no_attempts],
+            "the maximum number of attempts of a request is 0",
+        ),
         (
             &[START, REQUEST_ARRIVED, REQUEST_ARRIVED],
             "duplicate request r-1",
