--- a/crates/net/src/frontend/gearman/codec/decode.rs
+++ b/crates/net/src/frontend/gearman/codec/decode.rs
@@ -1,15 +1,16 @@
 //! Decodes the bodies of packets.
 //!
-//! All arguments but the last end at a zero byte; the last one takes the rest of the body.
+//! A zero byte ends every argument but the last, which takes the rest of the body.
 
-use super::packet::packet_type as types;
+use super::packet::types;
 use super::{Malformed, Packet};
 use bytes::{Buf, Bytes};
 
-/// The size limit of function names, unique ids, handles and client ids, in bytes.
-const MAX_NAME: usize = 512;
+/// Size limit, in bytes, of text arguments such as function names, unique ids, handles and client
+/// ids.
+const MAX_TEXT: usize = 512;
 
-/// The packet of this type with this body.
+/// Decodes a packet from its type and its body.
 pub(super) fn decode(packet_type: u32, body: Bytes) -> Result<Packet, Malformed> {
     let mut arguments = Arguments {
         packet_type,
@@ -17,11 +18,11 @@
     };
     Ok(match packet_type {
         types::CAN_DO => Packet::CanDo {
-            function: arguments.name()?,
+            function: arguments.last_non_empty()?,
         },
         types::CAN_DO_TIMEOUT => can_do_timeout(arguments)?,
         types::CANT_DO => Packet::CantDo {
-            function: arguments.name()?,
+            function: arguments.last_non_empty()?,
         },
         types::RESET_ABILITIES => Packet::ResetAbilities,
         types::PRE_SLEEP => Packet::PreSleep,
@@ -35,66 +36,66 @@
         types::GRAB_JOB_UNIQ => Packet::GrabJob { with_unique: true },
         types::WORK_STATUS => work_status(arguments)?,
         types::WORK_COMPLETE => Packet::WorkComplete {
-            handle: arguments.next()?,
+            handle: arguments.next_text()?,
             data: arguments.rest,
         },
         types::WORK_FAIL => Packet::WorkFail {
-            handle: arguments.name()?,
+            handle: arguments.last_non_empty()?,
         },
         types::WORK_EXCEPTION => Packet::WorkException {
-            handle: arguments.next()?,
+            handle: arguments.next_text()?,
             data: arguments.rest,
         },
         types::WORK_DATA => Packet::WorkData {
-            handle: arguments.next()?,
+            handle: arguments.next_text()?,
             data: arguments.rest,
         },
         types::WORK_WARNING => Packet::WorkWarning {
-            handle: arguments.next()?,
+            handle: arguments.next_text()?,
             data: arguments.rest,
         },
         types::GET_STATUS => Packet::GetStatus {
-            handle: arguments.name()?,
+            handle: arguments.last_non_empty()?,
         },
         types::ECHO_REQ => Packet::EchoReq {
             data: arguments.rest,
         },
         types::SET_CLIENT_ID => Packet::SetClientId {
-            id: arguments.last()?,
+            id: arguments.last_text()?,
         },
         types::ALL_YOURS => Packet::AllYours,
         types::OPTION_REQ => Packet::OptionReq {
-            option: arguments.name()?,
+            option: arguments.last_non_empty()?,
         },
         _ => return Err(Malformed::Type(packet_type)),
     })
 }
 
-/// The timeout is checked and then ignored: the deadline of a job comes from its class, whatever
-/// the endpoint.
+/// Checks the timeout and then ignores it: a job's deadline depends on its class only, not on the
+/// worker.
 fn can_do_timeout(mut arguments: Arguments) -> Result<Packet, Malformed> {
-    let function = arguments.next()?;
+    let function = arguments.next_text()?;
     arguments.last_number()?;
     Ok(Packet::CanDo { function })
 }
 
 fn submit_job(mut arguments: Arguments, background: bool) -> Result<Packet, Malformed> {
-    let function = arguments.next()?;
-    let unique = arguments.next()?;
+    let function = arguments.next_text()?;
+    let unique_id = arguments.next_text()?;
     if function.is_empty() {
         return Err(arguments.error());
     }
     Ok(Packet::SubmitJob {
         background,
         function,
-        unique,
+        unique_id,
         workload: arguments.rest,
     })
 }
 
 fn work_status(mut arguments: Arguments) -> Result<Packet, Malformed> {
-    let handle = arguments.next()?;
-    let numerator = arguments.next()?;
+    let handle = arguments.next_text()?;
+    let numerator = arguments.next_text()?;
     Ok(Packet::WorkStatus {
         handle,
         numerator: arguments.number(&numerator)?,
@@ -102,9 +103,10 @@
     })
 }
 
-/// The arguments of a packet that are not decoded yet.
+/// Decodes the arguments of a packet one by one.
 struct Arguments {
     packet_type: u32,
+    /// The part of the body that is not decoded yet.
     rest: Bytes,
 }
 
@@ -113,8 +115,8 @@
         Malformed::Arguments(self.packet_type)
     }
 
-    /// The next argument, which is not the last.
-    fn next(&mut self) -> Result<String, Malformed> {
+    /// Decodes the next argument, up to the zero byte that ends it.
+    fn next_text(&mut self) -> Result<String, Malformed> {
         let end = self.rest.iter().position(|&byte| byte == 0);
         let end = end.ok_or_else(|| self.error())?;
         let argument = self.rest.split_to(end);
@@ -122,33 +124,34 @@
         self.text(&argument)
     }
 
-    /// The last argument.
-    fn last(self) -> Result<String, Malformed> {
+    /// Decodes the last argument.
+    fn last_text(self) -> Result<String, Malformed> {
         if self.rest.contains(&0) {
             return Err(self.error());
         }
         self.text(&self.rest)
     }
 
-    /// The last argument, which must not be empty.
-    fn name(self) -> Result<String, Malformed> {
+    /// Decodes the last argument, which must not be empty.
+    fn last_non_empty(self) -> Result<String, Malformed> {
         let error = self.error();
-        let name = self.last()?;
-        if name.is_empty() {
+        let text = self.last_text()?;
+        if text.is_empty() {
             return Err(error);
         }
-        Ok(name)
+        Ok(text)
     }
 
-    /// The last argument, which is a number.
+    /// Decodes the last argument as a number.
     fn last_number(&self) -> Result<u64, Malformed> {
         let text = std::str::from_utf8(&self.rest).map_err(|_| self.error())?;
         self.number(text)
     }
 
+    /// Checks that an argument is UTF-8 text within the size limit and without control characters.
     fn text(&self, argument: &[u8]) -> Result<String, Malformed> {
         match std::str::from_utf8(argument) {
-            Ok(text) if argument.len() <= MAX_NAME && !text.contains(char::is_control) => {
+            Ok(text) if argument.len() <= MAX_TEXT && !text.contains(char::is_control) => {
                 Ok(text.to_owned())
             }
             _ => Err(self.error()),
--- a/crates/net/src/frontend/gearman/codec/encode.rs
+++ b/crates/net/src/frontend/gearman/codec/encode.rs
@@ -1,11 +1,11 @@
-//! Encodes the packets that this side sends.
+//! Encodes the packets that the dispatcher sends.
 
-use super::packet::packet_type as types;
-use super::{HEAD_LENGTH, Packet, RESPONSE_MAGIC};
+use super::packet::types;
+use super::{HEADER_LENGTH, Packet, RESPONSE_MAGIC};
 use bytes::{BufMut, BytesMut};
 
 impl Packet {
-    /// Appends the packet to `out`. Packets that only peers send append nothing.
+    /// Appends the packet to `out`; appends nothing for packets that only clients and workers send.
     pub fn encode(&self, out: &mut BytesMut) {
         match self {
             Packet::Noop => put(out, types::NOOP, &[]),
@@ -14,9 +14,9 @@
             Packet::JobAssign {
                 handle,
                 function,
-                unique,
+                unique_id,
                 workload,
-            } => put_job_assign(out, handle, function, unique.as_deref(), workload),
+            } => put_job_assign(out, handle, function, unique_id.as_deref(), workload),
             Packet::WorkStatus {
                 handle,
                 numerator,
@@ -70,26 +70,27 @@
     }
 }
 
+/// Appends `JOB_ASSIGN`, or `JOB_ASSIGN_UNIQ` with a unique id.
 fn put_job_assign(
     out: &mut BytesMut,
     handle: &str,
     function: &str,
-    unique: Option<&str>,
+    unique_id: Option<&str>,
     workload: &[u8],
 ) {
     let handle = handle.as_bytes();
     let function = function.as_bytes();
-    match unique {
-        Some(unique) => put(
+    match unique_id {
+        Some(unique_id) => put(
             out,
             types::JOB_ASSIGN_UNIQ,
-            &[handle, function, unique.as_bytes(), workload],
+            &[handle, function, unique_id.as_bytes(), workload],
         ),
         None => put(out, types::JOB_ASSIGN, &[handle, function, workload]),
     }
 }
 
-/// Appends a packet whose arguments are a handle and numbers.
+/// Appends a packet whose arguments are a job handle and numbers in decimal.
 fn put_numbers(out: &mut BytesMut, packet_type: u32, handle: &str, numbers: &[u64]) {
     let numbers: Vec<String> = numbers.iter().map(u64::to_string).collect();
     let mut arguments = vec![handle.as_bytes()];
@@ -97,9 +98,10 @@
     put(out, packet_type, &arguments);
 }
 
+/// Appends a packet, with a zero byte between its arguments.
 fn put(out: &mut BytesMut, packet_type: u32, arguments: &[&[u8]]) {
     let body = arguments.join(&0u8);
-    out.reserve(HEAD_LENGTH + body.len());
+    out.reserve(HEADER_LENGTH + body.len());
     out.put_slice(&RESPONSE_MAGIC);
     out.put_u32(packet_type);
     out.put_u32(body.len() as u32);
--- a/crates/net/src/frontend/gearman/codec/mod.rs
+++ b/crates/net/src/frontend/gearman/codec/mod.rs
@@ -1,7 +1,7 @@
 //! The codec of the Gearman protocol: binary packets, and lines of text for admin commands.
 //!
-//! A packet begins with a zero byte, so the first byte tells the two apart. A peer that sends
-//! anything else, or more than the limits allow, is disconnected.
+//! A packet begins with a zero byte and an admin command does not, so the first byte distinguishes
+//! them. Input that is neither, or that exceeds a size limit, is malformed.
 
 mod decode;
 mod encode;
@@ -14,21 +14,21 @@
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// The size limit of a workload or a result, as over HTTP, in bytes.
+/// Size limit of a workload or a result, in bytes; the same as over HTTP.
 pub const MAX_WORKLOAD: usize = 64 << 10;
-/// The size limit of the body of a packet, in bytes: names and ids come on top of a workload.
+/// Size limit of the body of a packet, in bytes: a workload, and the names and ids before it.
 const MAX_BODY: usize = MAX_WORKLOAD + (4 << 10);
-/// The size limit of an admin command, in bytes.
+/// Size limit of an admin command, in bytes.
 const MAX_LINE: usize = 1 << 10;
 
-/// What the packets of peers begin with.
+/// The magic bytes of packets that clients and workers send.
 const REQUEST_MAGIC: [u8; 4] = *b"\0REQ";
-/// What the packets of this side begin with.
+/// The magic bytes of packets that the dispatcher sends.
 const RESPONSE_MAGIC: [u8; 4] = *b"\0RES";
-/// The length of a packet's head: magic, type and length of the body, 4 bytes each.
-const HEAD_LENGTH: usize = 12;
+/// Length of a packet's header: magic bytes, packet type and length of the body, 4 bytes each.
+const HEADER_LENGTH: usize = 12;
 
-/// What a peer sends.
+/// A packet or an admin command from a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
     /// A packet.
@@ -37,28 +37,29 @@
     AdminCommand(String),
 }
 
-/// What a peer sends cannot be read. It gets an ERROR packet, and its connection is closed.
+/// Input from a peer that cannot be decoded. The peer gets an ERROR packet, and its connection is
+/// closed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Malformed {
-    /// The connection broke.
+    /// Reading from the connection failed. No ERROR packet is sent.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Neither a request packet nor a line of text.
+    /// The input is neither a packet with the request magic nor a line of UTF-8 text.
     #[error("not a request packet")]
     Magic,
-    /// Longer than allowed.
+    /// A packet's body or an admin command exceeds its size limit, in bytes.
     #[error("longer than {0} bytes")]
     TooLong(usize),
-    /// A type that no peer may send here.
+    /// The packet type is unknown, or one that only the dispatcher sends.
     #[error("packet type {0} is not known here")]
     Type(u32),
-    /// Arguments that are missing or cannot be read.
+    /// An argument of a packet of this type is missing or invalid.
     #[error("packet type {0} with bad arguments")]
     Arguments(u32),
 }
 
-/// Decodes what peers send.
+/// Decodes packets and admin commands from peers.
 #[derive(Debug, Default)]
 pub struct Codec;
 
@@ -77,31 +78,31 @@
     }
 }
 
-/// The next packet, if all of it has arrived.
+/// Decodes the next packet; `None` until all of it has arrived.
 fn decode_packet(src: &mut BytesMut) -> Result<Option<Packet>, Malformed> {
     let available = src.len().min(REQUEST_MAGIC.len());
     if src[..available] != REQUEST_MAGIC[..available] {
         return Err(Malformed::Magic);
     }
-    let Some(mut head) = src.get(REQUEST_MAGIC.len()..HEAD_LENGTH) else {
+    let Some(mut header) = src.get(REQUEST_MAGIC.len()..HEADER_LENGTH) else {
         return Ok(None);
     };
-    let packet_type = head.get_u32();
-    let body_length = head.get_u32() as usize;
+    let packet_type = header.get_u32();
+    let body_length = header.get_u32() as usize;
     if body_length > MAX_BODY {
         return Err(Malformed::TooLong(MAX_BODY));
     }
-    let packet_length = HEAD_LENGTH + body_length;
+    let packet_length = HEADER_LENGTH + body_length;
     if src.len() < packet_length {
         src.reserve(packet_length - src.len());
         return Ok(None);
     }
-    src.advance(HEAD_LENGTH);
+    src.advance(HEADER_LENGTH);
     let body = src.split_to(body_length).freeze();
     decode::decode(packet_type, body).map(Some)
 }
 
-/// The next line, if all of it has arrived.
+/// Decodes the next line; `None` until all of it has arrived.
 fn decode_line(src: &mut BytesMut) -> Result<Option<String>, Malformed> {
     match src.iter().position(|&byte| byte == b'\n') {
         Some(end) if end <= MAX_LINE => {
--- a/crates/net/src/frontend/gearman/codec/packet.rs
+++ b/crates/net/src/frontend/gearman/codec/packet.rs
@@ -1,10 +1,10 @@
-//! The packets of the Gearman protocol, and the numbers of their types.
+//! The packets of the Gearman protocol, and their type numbers.
 
 use bytes::Bytes;
 
-/// A packet of either direction.
+/// A packet that either side sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(missing_docs)] // the protocol describes every packet
+#[allow(missing_docs)] // the Gearman protocol documents every packet
 pub enum Packet {
     CanDo {
         function: String,
@@ -18,7 +18,7 @@
     SubmitJob {
         background: bool,
         function: String,
-        unique: String,
+        unique_id: String,
         workload: Bytes,
     },
     JobCreated {
@@ -31,7 +31,7 @@
     JobAssign {
         handle: String,
         function: String,
-        unique: Option<String>,
+        unique_id: Option<String>,
         workload: Bytes,
     },
     WorkStatus {
@@ -90,8 +90,8 @@
     },
 }
 
-/// The numbers of the packet types, by their names in the protocol.
-pub(super) mod packet_type {
+/// The packet types, under their names in the protocol.
+pub(super) mod types {
     pub const CAN_DO: u32 = 1;
     pub const CANT_DO: u32 = 2;
     pub const RESET_ABILITIES: u32 = 3;
--- a/crates/net/src/frontend/gearman/codec/tests.rs
+++ b/crates/net/src/frontend/gearman/codec/tests.rs
@@ -1,11 +1,11 @@
-//! The codec: every packet that peers send is decoded, every packet of this side is encoded, and
-//! everything else is malformed.
+//! The codec decodes every packet that clients and workers send and encodes every packet that the
+//! dispatcher sends; all other input is malformed.
 
-use super::packet::packet_type as types;
+use super::packet::types;
 use super::*;
 use bytes::{BufMut, Bytes};
 
-/// A packet as peers send it.
+/// Encodes a packet as clients and workers send it.
 fn request(packet_type: u32, body: &str) -> BytesMut {
     let mut bytes = BytesMut::new();
     bytes.put_slice(b"\0REQ");
@@ -22,7 +22,7 @@
     }
 }
 
-/// The type and the body of a packet as this side sends it.
+/// Encodes a packet as the dispatcher sends it; returns its type and body.
 fn encode(packet: Packet) -> (u32, String) {
     let mut bytes = BytesMut::new();
     packet.encode(&mut bytes);
@@ -33,15 +33,15 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines)] // a table of packets
-fn packets_of_peers_are_decoded() {
+#[allow(clippy::too_many_lines)] // one entry per packet type
+fn packets_of_clients_and_workers_are_decoded() {
     let function = || "f".to_owned();
     let handle = || "h".to_owned();
     let data = || Bytes::from_static(b"a\0b");
     let submit = |background| Packet::SubmitJob {
         background,
         function: function(),
-        unique: "u".to_owned(),
+        unique_id: "u".to_owned(),
         workload: data(),
     };
     let cases = [
@@ -146,13 +146,13 @@
 }
 
 #[test]
-fn packets_of_this_side_are_encoded() {
+fn packets_of_the_dispatcher_are_encoded() {
     let handle = || "h".to_owned();
     let data = || Bytes::from_static(b"a\0b");
-    let assign = |unique| Packet::JobAssign {
+    let assign = |unique_id| Packet::JobAssign {
         handle: handle(),
         function: "f".to_owned(),
-        unique,
+        unique_id,
         workload: data(),
     };
     let cases = [
@@ -291,12 +291,12 @@
 }
 
 #[test]
-fn input_that_is_too_long_or_foreign_is_malformed() {
-    let mut head = BytesMut::from(&b"\0REQ"[..]);
-    head.put_u32(types::ECHO_REQ);
-    head.put_u32(MAX_BODY as u32 + 1);
+fn input_that_is_too_long_or_of_another_protocol_is_malformed() {
+    let mut header = BytesMut::from(&b"\0REQ"[..]);
+    header.put_u32(types::ECHO_REQ);
+    header.put_u32(MAX_BODY as u32 + 1);
     assert!(matches!(
-        Codec.decode(&mut head),
+        Codec.decode(&mut header),
         Err(Malformed::TooLong(MAX_BODY))
     ));
     let mut line = BytesMut::from(&b"x".repeat(MAX_LINE + 1)[..]);
@@ -304,11 +304,11 @@
         Codec.decode(&mut line),
         Err(Malformed::TooLong(MAX_LINE))
     ));
-    for foreign in [&b"\0RES"[..], b"\0X", b"\xff\n"] {
-        let mut input = BytesMut::from(foreign);
+    for bytes in [&b"\0RES"[..], b"\0X", b"\xff\n"] {
+        let mut input = BytesMut::from(bytes);
         assert!(
             matches!(Codec.decode(&mut input), Err(Malformed::Magic)),
-            "{foreign:?}"
+            "{bytes:?}"
         );
     }
 }
--- a/crates/net/src/frontend/gearman/connection.rs
+++ b/crates/net/src/frontend/gearman/connection.rs
@@ -230,12 +230,12 @@
             Packet::SubmitJob {
                 background,
                 function,
-                unique,
+                unique_id,
                 workload,
             } => self.clients.submit(Submission {
                 background,
                 function,
-                unique,
+                unique: unique_id,
                 workload,
             }),
             Packet::GetStatus { handle } => {
--- a/crates/net/src/frontend/gearman/workers/mod.rs
+++ b/crates/net/src/frontend/gearman/workers/mod.rs
@@ -137,7 +137,7 @@
         Packet::JobAssign {
             handle,
             function,
-            unique: with_unique.then(|| job.id.clone()),
+            unique_id: with_unique.then(|| job.id.clone()),
             workload: job.body.clone(),
         }
     }
