--- a/crates/net/src/frontend/gearman/clients/job.rs
+++ b/crates/net/src/frontend/gearman/clients/job.rs
@@ -1,6 +1,6 @@
-//! A job in progress: forwards its updates and its response to the client.
+//! A job in progress: its updates and its response are forwarded to the client.
 
-use super::FRACTION_DENOMINATOR;
+use super::PROGRESS_DENOMINATOR;
 use super::statuses::{JobStatus, JobStatuses};
 use crate::frontend::PendingResponse;
 use crate::frontend::gearman::codec::Packet;
@@ -12,28 +12,29 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::mpsc;
 
-/// One of the jobs that may be in progress at once, and its status. Dropped with the job.
+/// Permits one job to be in progress. Until it is dropped, the job counts against the limit and
+/// `GET_STATUS` finds its status.
 pub struct JobPermit {
-    jobs: Arc<AtomicUsize>,
+    job_count: Arc<AtomicUsize>,
     statuses: JobStatuses,
     handle: String,
 }
 
 impl JobPermit {
-    /// A permit, unless there are `max_jobs` already.
+    /// Returns a permit, or `None` if `max_jobs` are in progress already.
     pub fn acquire(
-        jobs: &Arc<AtomicUsize>,
+        job_count: &Arc<AtomicUsize>,
         max_jobs: usize,
         statuses: &JobStatuses,
         handle: &str,
     ) -> Option<JobPermit> {
-        if jobs.fetch_add(1, Ordering::Relaxed) >= max_jobs {
-            jobs.fetch_sub(1, Ordering::Relaxed);
+        if job_count.fetch_add(1, Ordering::Relaxed) >= max_jobs {
+            job_count.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
         statuses.set(handle, JobStatus::default());
         Some(JobPermit {
-            jobs: jobs.clone(),
+            job_count: job_count.clone(),
             statuses: statuses.clone(),
             handle: handle.to_owned(),
         })
@@ -42,7 +43,7 @@
 
 impl Drop for JobPermit {
     fn drop(&mut self) {
-        self.jobs.fetch_sub(1, Ordering::Relaxed);
+        self.job_count.fetch_sub(1, Ordering::Relaxed);
         self.statuses.remove(&self.handle);
     }
 }
@@ -52,11 +53,11 @@
     pub outbox: Outbox,
     pub handle: String,
     /// The client has asked for `WORK_EXCEPTION` packets.
-    pub exceptions: bool,
+    pub wants_exceptions: bool,
 }
 
 impl JobSender {
-    /// Forwards updates until the response has come.
+    /// Forwards the updates of the job, and its response at the end.
     pub async fn forward(
         self,
         permit: JobPermit,
@@ -66,7 +67,7 @@
         let mut response = pin!(pending.response());
         loop {
             tokio::select! {
-                // Updates that came before the response are sent before it.
+                // Updates that arrived before the response are sent before it.
                 biased;
                 Some(update) = updates.recv() => self.send_update(update, &permit.statuses),
                 response = response.as_mut() => return self.send_response(response),
@@ -79,12 +80,12 @@
         match update {
             AttemptUpdate::Started => self.set_running(statuses, 0),
             AttemptUpdate::Fraction(fraction) => {
-                let numerator = (fraction.clamp(0.0, 1.0) * FRACTION_DENOMINATOR as f64) as u64;
+                let numerator = (fraction.clamp(0.0, 1.0) * PROGRESS_DENOMINATOR as f64) as u64;
                 self.set_running(statuses, numerator);
                 self.outbox.send(Packet::WorkStatus {
                     handle,
                     numerator,
-                    denominator: FRACTION_DENOMINATOR,
+                    denominator: PROGRESS_DENOMINATOR,
                 });
             }
             AttemptUpdate::Data(data) => self.outbox.send(Packet::WorkData { handle, data }),
@@ -93,16 +94,15 @@
     }
 
     fn set_running(&self, statuses: &JobStatuses, numerator: u64) {
-        let is_running = true;
         let status = JobStatus {
-            is_running,
+            is_running: true,
             numerator,
         };
         statuses.set(&self.handle, status);
     }
 
-    /// Sends the response. Gearman has no packet for an overload response or the reason of a
-    /// failure: a warning or an exception with a line of text goes before `WORK_FAIL`.
+    /// Sends the response. Gearman has no packet for an overload response or for the reason of a
+    /// failure, so a warning or an exception with a line of text precedes `WORK_FAIL`.
     pub fn send_response(&self, response: ClientResponse) {
         match response {
             ClientResponse::Served(data) => {
@@ -123,7 +123,7 @@
     fn send_failure(&self, reason: String) {
         let handle = self.handle.clone();
         let data = Bytes::from(reason);
-        self.outbox.send(if self.exceptions {
+        self.outbox.send(if self.wants_exceptions {
             Packet::WorkException { handle, data }
         } else {
             Packet::WorkWarning { handle, data }
--- a/crates/net/src/frontend/gearman/clients/mod.rs
+++ b/crates/net/src/frontend/gearman/clients/mod.rs
@@ -1,7 +1,8 @@
-//! The client side of a connection: the jobs that it has submitted.
+//! The client side of a connection: the jobs that were submitted on it.
 //!
-//! Each job is a task that ends with its response. When the connection is closed, the jobs with a
-//! unique id go on, for a client that submits them again.
+//! Each job is a task that ends once its response is queued for the client. Closing the connection
+//! cancels these tasks; the requests of jobs with a unique id continue, so that a client that
+//! submits such a job again gets its response.
 
 mod job;
 mod statuses;
@@ -21,52 +22,54 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// The denominator of the progress of a job.
-const FRACTION_DENOMINATOR: u64 = 1_000;
-/// The back-off of a client while too many jobs are in progress.
+/// Denominator of the progress that clients are told, which is in thousandths.
+const PROGRESS_DENOMINATOR: u64 = 1_000;
+/// Retry-After for a job that exceeds the limit of jobs in progress.
 const TOO_MANY_JOBS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The jobs of one connection.
-pub struct Clients<'a> {
+/// The jobs that were submitted on one connection.
+pub struct ClientJobs<'a> {
     frontend: &'a GearmanFrontend,
     outbox: Outbox,
-    jobs: JoinSet<()>,
+    /// The tasks of the jobs in progress.
+    tasks: JoinSet<()>,
     /// The client has asked for `WORK_EXCEPTION` packets.
-    exceptions: bool,
+    wants_exceptions: bool,
     is_closed: bool,
 }
 
-impl<'a> Clients<'a> {
-    pub(super) fn new(frontend: &'a GearmanFrontend, outbox: Outbox) -> Clients<'a> {
-        Clients {
+impl<'a> ClientJobs<'a> {
+    pub(super) fn new(frontend: &'a GearmanFrontend, outbox: Outbox) -> ClientJobs<'a> {
+        ClientJobs {
             frontend,
             outbox,
-            jobs: JoinSet::new(),
-            exceptions: false,
+            tasks: JoinSet::new(),
+            wants_exceptions: false,
             is_closed: false,
         }
     }
 
     /// Whether every job has its response.
     pub(super) fn is_idle(&self) -> bool {
-        self.jobs.is_empty()
+        self.tasks.is_empty()
     }
 
-    /// Accepts no further jobs.
+    /// Rejects all jobs that are submitted from now on.
     pub(super) fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// Waits until a job has its response.
+    /// Waits until a job has its response; forever if no job is in progress.
     pub(super) async fn next_completed(&mut self) {
-        if self.jobs.join_next().await.is_none() {
+        if self.tasks.join_next().await.is_none() {
             std::future::pending::<()>().await;
         }
     }
 
+    /// `OPTION_REQ`: sets an option of the connection.
     pub(super) fn set_option(&mut self, option: String) {
         if option == "exceptions" {
-            self.exceptions = true;
+            self.wants_exceptions = true;
             self.outbox.send(Packet::OptionRes { option });
         } else {
             self.outbox.send(Packet::Error {
@@ -76,6 +79,7 @@
         }
     }
 
+    /// Starts a job, or sends an error if it is not accepted.
     pub(super) fn submit(&mut self, submission: Submission) {
         let function = if self.is_closed {
             Err(SubmitError::ShuttingDown)
@@ -95,17 +99,17 @@
             handle: handle.clone(),
         });
         let GearmanFrontend {
-            jobs,
+            job_count,
             max_jobs,
             statuses,
             events,
             ..
         } = self.frontend;
-        let permit = JobPermit::acquire(jobs, *max_jobs, statuses, &handle);
+        let permit = JobPermit::acquire(job_count, *max_jobs, statuses, &handle);
         let sender = JobSender {
             outbox: self.outbox.clone(),
             handle,
-            exceptions: self.exceptions,
+            wants_exceptions: self.wants_exceptions,
         };
         let Some(permit) = permit else {
             return sender.send_response(ClientResponse::Overloaded {
@@ -115,6 +119,6 @@
         let request = submission.into_request(id, function, self.frontend);
         let (update_sender, updates) = mpsc::unbounded_channel();
         let pending = events.submit(request, Some(update_sender));
-        self.jobs.spawn(sender.forward(permit, updates, pending));
+        self.tasks.spawn(sender.forward(permit, updates, pending));
     }
 }
--- a/crates/net/src/frontend/gearman/clients/statuses.rs
+++ b/crates/net/src/frontend/gearman/clients/statuses.rs
@@ -1,20 +1,20 @@
-//! The statuses of the jobs of all clients, for `GET_STATUS`.
+//! The statuses of the jobs in progress of all clients, for `GET_STATUS`.
 
-use super::FRACTION_DENOMINATOR;
+use super::PROGRESS_DENOMINATOR;
 use crate::frontend::gearman::codec::Packet;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The status of a job.
+/// The status of a job in progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobStatus {
-    /// A worker has started it.
+    /// An attempt of the job has started.
     pub is_running: bool,
-    /// Its progress, of [`FRACTION_DENOMINATOR`].
+    /// Its progress; the denominator is [`PROGRESS_DENOMINATOR`].
     pub numerator: u64,
 }
 
-/// The statuses of the jobs of all clients, by handle.
+/// The statuses of the jobs in progress of all clients, by handle.
 #[derive(Clone, Default)]
 pub struct JobStatuses(Arc<Mutex<HashMap<String, JobStatus>>>);
 
@@ -38,7 +38,7 @@
             running: status.is_running,
             numerator: status.numerator,
             denominator: if has_progress {
-                FRACTION_DENOMINATOR
+                PROGRESS_DENOMINATOR
             } else {
                 0
             },
--- a/crates/net/src/frontend/gearman/clients/submission.rs
+++ b/crates/net/src/frontend/gearman/clients/submission.rs
@@ -1,4 +1,4 @@
-//! A job that a client submits: its checks, and its conversion to a request.
+//! A job as a client submits it: its checks, and its conversion to a request.
 
 use crate::config::Function;
 use crate::frontend::gearman::GearmanFrontend;
@@ -9,16 +9,16 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// A job as a client submits it.
+/// A job that a client submits with a `SUBMIT_JOB` packet.
 pub struct Submission {
     pub background: bool,
     pub function: String,
     /// Its unique id; empty or `-` if it has none.
-    pub unique: String,
+    pub unique_id: String,
     pub workload: Bytes,
 }
 
-/// A job is not accepted.
+/// Why a job is not accepted.
 pub enum SubmitError {
     ShuttingDown,
     Background,
@@ -45,10 +45,11 @@
 }
 
 impl Submission {
-    /// Checks the job; returns its function.
+    /// Checks whether the job is accepted; returns its function.
     ///
-    /// Background jobs are refused: nobody would get an overload response or a failure, and a
-    /// dispatcher has no disk to queue them on, so the rule of one final response would be broken.
+    /// Background jobs are rejected: every job must get one final response, but no client would
+    /// receive an overload response or a failure, and the dispatcher has no disk to queue the job
+    /// on.
     pub fn check(&self, frontend: &GearmanFrontend) -> Result<Function, SubmitError> {
         if self.background {
             return Err(SubmitError::Background);
@@ -62,7 +63,7 @@
         Ok(function)
     }
 
-    /// The request of this job, with a job id that is new.
+    /// Converts the job to a request; `id` is a new id for it.
     pub fn into_request(
         self,
         id: String,
@@ -70,9 +71,12 @@
         frontend: &GearmanFrontend,
     ) -> ClientRequest {
         let class = &frontend.settings.classes[function.class.0];
-        let unique = Some(self.unique).filter(|unique| !unique.is_empty() && unique != "-");
-        let key = unique.as_deref().map_or_else(|| id.clone(), percent_encode);
-        // Endpoints recognise a repeat by its idempotency key.
+        let unique_id =
+            Some(self.unique_id).filter(|unique_id| !unique_id.is_empty() && unique_id != "-");
+        let key = unique_id
+            .as_deref()
+            .map_or_else(|| id.clone(), percent_encode);
+        // Endpoints of such a class detect a repeated job by its idempotency key.
         let idempotency_key = matches!(class.repeats, RepeatSemantics::Keyed).then(|| key.clone());
         ClientRequest {
             class: function.class,
@@ -86,15 +90,16 @@
                 idempotency_key,
                 body: self.workload,
             }),
-            unique_id: unique.map(|unique| UniqueId(format!("{}\0{unique}", class.name))),
+            // Unique ids are distinct per class. The zero byte cannot occur in a unique id.
+            unique_id: unique_id.map(|unique_id| UniqueId(format!("{}\0{unique_id}", class.name))),
         }
     }
 }
 
-/// A unique id as a segment of a path.
-fn percent_encode(unique: &str) -> String {
+/// Encodes a unique id as a segment of a path.
+fn percent_encode(unique_id: &str) -> String {
     let mut segment = String::new();
-    for byte in unique.bytes() {
+    for byte in unique_id.bytes() {
         if byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte) {
             segment.push(char::from(byte));
         } else {
--- a/crates/net/src/frontend/gearman/connection.rs
+++ b/crates/net/src/frontend/gearman/connection.rs
@@ -1,13 +1,18 @@
-//! One connection: reads packets and admin commands, and closes the connection when it must.
+//! One connection: reads and handles its packets and admin commands.
 //!
-//! A connection is closed when the peer closes it, sends nothing or half a packet for too long,
-//! does not read, or sends malformed input; at the shutdown, once its client has all responses; and
-//! when it is idle while too many others are open.
+//! A connection is closed when:
+//!
+//! - the peer closes it;
+//! - the peer does not complete its first packet, or a later one that it has begun, in time;
+//! - the peer sends malformed input;
+//! - the peer does not read, and its outbox overflows;
+//! - too many connections are open, and it is evicted before its first packet is complete;
+//! - the dispatcher shuts down, once the client has all its responses.
 
-use super::clients::{Clients, Submission};
+use super::clients::{ClientJobs, Submission};
 use super::codec::{Codec, MAX_WORKLOAD, Malformed, Packet, Received};
 use super::outbox::{Outbox, write_messages};
-use super::workers::fraction;
+use super::workers::progress_update;
 use super::{GearmanFrontend, admin};
 use crate::frontend::admission::{self, ClientConnection};
 use crate::frontend::http::{CloseSignal, wait_for_close};
@@ -24,22 +29,23 @@
 use tokio_util::codec::FramedRead;
 use tracing::{info, warn};
 
-/// How often a connection is checked for half a packet.
+/// Interval of the checks for an incomplete packet.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// TCP keep-alive: the time until the first probe, between probes, and their number. They detect a
-/// peer whose machine has failed, which sends no more packets and would remain an endpoint.
+/// TCP keep-alive: idle time until the first probe, interval of the probes, and their number. The
+/// probes detect a worker whose machine has failed: it sends nothing more, and its session would
+/// remain an endpoint.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(10);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 const KEEPALIVE_RETRIES: u32 = 3;
 
-/// The frontend does not end while a clone of this sender exists.
+/// [`GearmanFrontend::serve`] does not return while a clone of this sender exists.
 type ShutdownGuard = mpsc::Sender<()>;
 
-/// A connection that was accepted.
-pub(super) struct Accepted {
-    /// Its number.
-    pub session: u64,
+/// A connection that was accepted, and what is needed to serve it.
+pub(super) struct AcceptedConnection {
+    /// Number of the connection, and of its worker session if it becomes that of a worker.
+    pub session_id: u64,
     pub opened_at: Timestamp,
     pub stream: TcpStream,
     pub peer: String,
@@ -50,8 +56,8 @@
 /// Serves a connection until it is closed.
 pub(super) async fn serve(
     frontend: &GearmanFrontend,
-    accepted: Accepted,
-    state: &ClientConnection,
+    accepted: AcceptedConnection,
+    client_connection: &ClientConnection,
 ) {
     let _ = accepted.stream.set_nodelay(true);
     set_keepalive(&accepted.stream);
@@ -60,28 +66,28 @@
     let writer = tokio::spawn(write_messages(queue, write_half));
     let mut connection = Connection {
         frontend,
-        session: accepted.session,
+        session_id: accepted.session_id,
         opened_at: accepted.opened_at,
         input: FramedRead::new(read_half, Codec),
-        clients: Clients::new(frontend, outbox.clone()),
+        client_jobs: ClientJobs::new(frontend, outbox.clone()),
         outbox,
         is_shutting_down: false,
         shutdown_guard: Some(accepted.shutdown_guard),
-        packet_deadline: Some(state.phase_deadline()),
+        packet_deadline: Some(client_connection.phase_deadline()),
     };
-    connection.run(accepted.closing, state).await;
-    frontend.workers.closed(accepted.session);
+    connection.run(accepted.closing, client_connection).await;
+    frontend.workers.connection_closed(accepted.session_id);
     let Connection {
         input,
-        clients,
+        client_jobs,
         outbox,
         shutdown_guard,
         ..
     } = connection;
-    drop((clients, outbox));
-    // Queued messages are written before the connection is closed.
+    // This ends the queue. The writer writes what is queued before the connection is closed.
+    drop((client_jobs, outbox));
     let _ = writer.await;
-    admission::close(input.get_ref().as_ref(), state, None).await;
+    admission::close(input.get_ref().as_ref(), client_connection, None).await;
     drop(shutdown_guard);
 }
 
@@ -95,37 +101,37 @@
 
 struct Connection<'a> {
     frontend: &'a GearmanFrontend,
-    session: u64,
+    session_id: u64,
     opened_at: Timestamp,
     input: FramedRead<OwnedReadHalf, Codec>,
-    clients: Clients<'a>,
+    client_jobs: ClientJobs<'a>,
     outbox: Outbox,
     is_shutting_down: bool,
     shutdown_guard: Option<ShutdownGuard>,
-    /// When the peer must have sent its first packet, or all of one that has begun.
+    /// When the first packet, or a later one that the peer has begun to send, must be complete.
     packet_deadline: Option<Instant>,
 }
 
 impl Connection<'_> {
-    /// Runs until the connection is to be closed.
-    async fn run(&mut self, mut closing: CloseSignal, state: &ClientConnection) {
+    /// Handles input and events until the connection is to be closed.
+    async fn run(&mut self, mut closing: CloseSignal, client_connection: &ClientConnection) {
         let mut stall_check = interval(STALL_CHECK_INTERVAL);
         loop {
-            if self.is_shutting_down && self.clients.is_idle() {
-                // A worker stays connected, as requests in progress may need it, but the shutdown
-                // does not wait for it.
-                if !self.frontend.workers.has(self.session) {
+            if self.is_shutting_down && self.client_jobs.is_idle() {
+                // A worker stays connected because requests in progress may need it, but the
+                // shutdown does not wait for it.
+                if !self.frontend.workers.contains(self.session_id) {
                     return;
                 }
                 self.shutdown_guard = None;
             }
             let received = tokio::select! {
-                received = next(&mut self.input) => received,
-                () = self.clients.next_completed() => continue,
-                // An idle connection makes room for one that has a request.
-                () = state.eviction_requested() => return,
+                received = receive(&mut self.input) => received,
+                () = self.client_jobs.next_completed() => continue,
+                // Another connection needs the permit.
+                () = client_connection.eviction_requested() => return,
                 _ = stall_check.tick() => {
-                    if self.is_stalled() {
+                    if self.check_packet_deadline() {
                         info!(
                             frontend = "gearman",
                             peer = self.outbox.peer(),
@@ -145,22 +151,23 @@
                 }
                 () = wait_for_close(&mut closing), if !self.is_shutting_down => {
                     self.is_shutting_down = true;
-                    self.clients.close();
+                    self.client_jobs.close();
                     continue;
                 }
             };
-            state.request_received();
+            client_connection.request_received();
             self.packet_deadline = None;
             match received {
                 None | Some(Err(Malformed::Io(_))) => return,
-                Some(Ok(received)) => self.handle(received).await,
+                Some(Ok(received)) => self.handle_received(received).await,
                 Some(Err(malformed)) => return self.report_malformed(malformed),
             }
         }
     }
 
-    /// Whether a packet is overdue. One that has begun becomes due from here on.
-    fn is_stalled(&mut self) -> bool {
+    /// Returns whether a packet is overdue. If part of a packet has arrived that has no deadline
+    /// yet, its deadline starts now.
+    fn check_packet_deadline(&mut self) -> bool {
         let now = Instant::now();
         if self.packet_deadline.is_some_and(|deadline| deadline <= now) {
             return true;
@@ -187,7 +194,7 @@
         self.outbox.send(Packet::Error { code, text });
     }
 
-    async fn handle(&mut self, received: Received) {
+    async fn handle_received(&mut self, received: Received) {
         match received {
             Received::AdminCommand(line) => {
                 let response = admin::respond(self.frontend, &line).await;
@@ -198,53 +205,55 @@
     }
 
     fn handle_packet(&mut self, packet: Packet) {
-        let session = self.session;
+        let session_id = self.session_id;
         let workers = &self.frontend.workers;
         match packet {
             Packet::CanDo { function } => self.can_do(function),
-            Packet::CantDo { function } => workers.cant_do(session, Some(&function)),
-            Packet::ResetAbilities => workers.cant_do(session, None),
-            Packet::PreSleep => workers.sleep(session),
+            Packet::CantDo { function } => workers.cant_do(session_id, Some(&function)),
+            Packet::ResetAbilities => workers.cant_do(session_id, None),
+            Packet::PreSleep => workers.pre_sleep(session_id),
             Packet::GrabJob { with_unique } => {
-                self.outbox.send(workers.grab(session, with_unique));
+                self.outbox.send(workers.grab_job(session_id, with_unique));
             }
             Packet::WorkStatus {
                 handle,
                 numerator,
                 denominator,
-            } => self.update(&handle, fraction(numerator, denominator)),
-            Packet::WorkData { handle, data } => self.update(&handle, AttemptUpdate::Data(data)),
+            } => self.job_updated(&handle, progress_update(numerator, denominator)),
+            Packet::WorkData { handle, data } => {
+                self.job_updated(&handle, AttemptUpdate::Data(data));
+            }
             // WORK_EXCEPTION does not end the job; the WORK_FAIL that follows it does.
             Packet::WorkWarning { handle, data } | Packet::WorkException { handle, data } => {
-                self.update(&handle, AttemptUpdate::Warning(data));
+                self.job_updated(&handle, AttemptUpdate::Warning(data));
             }
             Packet::WorkComplete { handle, data } if data.len() > MAX_WORKLOAD => {
                 self.send_error("TOO_LARGE", "the result is too large");
-                self.end(&handle, AttemptOutcome::Error);
+                self.job_ended(&handle, AttemptOutcome::Error);
             }
             Packet::WorkComplete { handle, data } => {
-                self.end(&handle, AttemptOutcome::Served(data));
+                self.job_ended(&handle, AttemptOutcome::Served(data));
             }
-            Packet::WorkFail { handle } => self.end(&handle, AttemptOutcome::Error),
-            Packet::SetClientId { id } => workers.set_id(session, id),
+            Packet::WorkFail { handle } => self.job_ended(&handle, AttemptOutcome::Error),
+            Packet::SetClientId { id } => workers.set_client_id(session_id, id),
             Packet::SubmitJob {
                 background,
                 function,
                 unique_id,
                 workload,
-            } => self.clients.submit(Submission {
+            } => self.client_jobs.submit(Submission {
                 background,
                 function,
-                unique: unique_id,
+                unique_id,
                 workload,
             }),
             Packet::GetStatus { handle } => {
                 self.outbox.send(self.frontend.statuses.response(handle));
             }
             Packet::EchoReq { data } => self.outbox.send(Packet::EchoRes { data }),
-            Packet::OptionReq { option } => self.clients.set_option(option),
-            // ALL_YOURS changes nothing here, and the codec decodes no packet that only this side
-            // sends.
+            Packet::OptionReq { option } => self.client_jobs.set_option(option),
+            // ALL_YOURS has no effect here, and the codec decodes no packet that only the
+            // dispatcher sends.
             _ => {}
         }
     }
@@ -252,7 +261,7 @@
     fn can_do(&self, function: String) {
         match self.frontend.functions.class(&function) {
             Some(class) => self.frontend.workers.can_do(
-                self.session,
+                self.session_id,
                 self.opened_at,
                 &self.outbox,
                 class,
@@ -262,24 +271,29 @@
         }
     }
 
-    fn update(&self, handle: &str, update: AttemptUpdate) {
-        let is_known = self.frontend.workers.update(self.session, handle, update);
-        self.check_handle(is_known);
+    fn job_updated(&self, handle: &str, update: AttemptUpdate) {
+        let workers = &self.frontend.workers;
+        let is_running = workers.job_updated(self.session_id, handle, update);
+        self.report_unknown_job(is_running);
     }
 
-    fn end(&self, handle: &str, outcome: AttemptOutcome) {
-        let is_known = self.frontend.workers.ended(self.session, handle, outcome);
-        self.check_handle(is_known);
+    fn job_ended(&self, handle: &str, outcome: AttemptOutcome) {
+        let workers = &self.frontend.workers;
+        let is_running = workers.job_ended(self.session_id, handle, outcome);
+        self.report_unknown_job(is_running);
     }
 
-    fn check_handle(&self, is_known: bool) {
-        if !is_known {
+    /// Sends an error if the worker does not run the job that its packet names.
+    fn report_unknown_job(&self, is_running: bool) {
+        if !is_running {
             self.send_error("JOB_NOT_FOUND", "no such job here");
         }
     }
 }
 
-/// The next item; `None` once the peer has closed the connection.
-async fn next(input: &mut FramedRead<OwnedReadHalf, Codec>) -> Option<Result<Received, Malformed>> {
+/// Returns the next packet or admin command; `None` once the peer has closed the connection.
+async fn receive(
+    input: &mut FramedRead<OwnedReadHalf, Codec>,
+) -> Option<Result<Received, Malformed>> {
     poll_fn(|cx| Pin::new(&mut *input).poll_next(cx)).await
 }
--- a/crates/net/src/frontend/gearman/mod.rs
+++ b/crates/net/src/frontend/gearman/mod.rs
@@ -1,8 +1,8 @@
 //! The Gearman frontend.
 //!
-//! A connection may be that of a client, of a worker, of both, or of an operator who types admin
-//! commands. The jobs of clients are requests like any other; the session of a worker is an
-//! endpoint like any other.
+//! A connection may belong to a client, a worker, both, or an operator who types admin commands.
+//! The core treats the jobs of clients like the requests of every other frontend, and the sessions
+//! of workers like every other endpoint.
 
 mod admin;
 mod clients;
@@ -18,7 +18,7 @@
 use crate::frontend::admission::{Admission, AdmissionDecision};
 use crate::frontend::http::{CloseSignal, wait_for_close};
 use clients::JobStatuses;
-use connection::Accepted;
+use connection::AcceptedConnection;
 use pumiceway_decisions::api::{ClassId, Timestamp};
 use pumiceway_decisions::settings::DeploymentSettings;
 use std::collections::BTreeMap;
@@ -31,14 +31,14 @@
 use tracing::{error, warn};
 use workers::WorkerSessions;
 
-/// The time between an accept that failed, as without free descriptors, and the next one.
+/// Delay before the next accept after one has failed, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The functions that clients and workers may name.
+/// The configured functions, by name.
 pub struct Functions(BTreeMap<String, Function>);
 
 impl Functions {
-    /// The class of a function.
+    /// Returns the class of a function; `None` if the function is not configured.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.get(name).map(|function| function.class)
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// The frontend.
+/// Serves Gearman clients, workers and admin commands on one listener.
 #[derive(Clone)]
 pub struct GearmanFrontend {
     events: EventSender,
@@ -57,13 +57,13 @@
     workers: WorkerSessions,
     max_connections: usize,
     max_jobs: usize,
-    /// Jobs of all clients that are in progress.
-    jobs: Arc<AtomicUsize>,
+    /// Number of jobs in progress, of all clients.
+    job_count: Arc<AtomicUsize>,
     statuses: JobStatuses,
 }
 
 impl GearmanFrontend {
-    /// A frontend over these worker sessions.
+    /// Creates a frontend that registers its workers in `workers`.
     pub fn new(
         events: EventSender,
         settings: Arc<DeploymentSettings>,
@@ -77,13 +77,13 @@
             workers,
             max_connections: config.connections,
             max_jobs: config.jobs,
-            jobs: Arc::default(),
+            job_count: Arc::default(),
             statuses: JobStatuses::default(),
         }
     }
 
-    /// Serves connections until `closing` is set, and then until the clients among them have their
-    /// responses.
+    /// Accepts and serves connections until `closing` is set, then waits until all jobs of clients
+    /// have their responses.
     pub async fn serve(
         self,
         listener: TcpListener,
@@ -91,8 +91,9 @@
         now: impl Fn() -> Timestamp,
     ) {
         let admission = Admission::new(self.max_connections, 0);
-        let (shutdown_guard, mut all_dropped) = mpsc::channel(1);
-        let mut session = 0;
+        // Nothing is sent: the channel closes once every connection has dropped its guard.
+        let (shutdown_guard, mut guards) = mpsc::channel(1);
+        let mut session_id = 0;
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
@@ -116,9 +117,9 @@
                 );
                 continue;
             }
-            session += 1;
-            let accepted = Accepted {
-                session,
+            session_id += 1;
+            let accepted = AcceptedConnection {
+                session_id,
                 opened_at: now(),
                 stream,
                 peer: peer.to_string(),
@@ -132,6 +133,6 @@
             });
         }
         drop((listener, shutdown_guard));
-        let _ = all_dropped.recv().await;
+        let _ = guards.recv().await;
     }
 }
--- a/crates/net/src/frontend/gearman/outbox.rs
+++ b/crates/net/src/frontend/gearman/outbox.rs
@@ -1,6 +1,6 @@
 //! The sending side of a connection: a bounded queue, and the task that writes it.
 //!
-//! Sending never waits. A peer that does not read fills the queue, and its connection is closed.
+//! Sending never blocks. If a peer does not read, its queue fills up and its connection is closed.
 
 use super::codec::Packet;
 use bytes::BytesMut;
@@ -11,28 +11,29 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::timeout;
 
-/// Messages that may wait for a peer to read them.
+/// Number of messages that may be queued for a peer.
 const QUEUE_CAPACITY: usize = 1_024;
-/// A peer reads each message within this time.
+/// Time limit for writing one message; writing ends when it is exceeded.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What is sent to a peer.
+/// A message to a peer.
 pub(super) enum Message {
     Packet(Packet),
     /// The response to an admin command.
     Text(String),
 }
 
-/// The sending side of a connection.
+/// Queues messages to the peer of a connection. Clones share the queue.
 #[derive(Clone)]
 pub struct Outbox {
     messages: mpsc::Sender<Message>,
+    /// Notified when a message is dropped because the queue is full.
     overflow: Arc<Notify>,
     peer: Arc<str>,
 }
 
 impl Outbox {
-    /// An outbox, and the queue for [`write_messages`].
+    /// Creates an outbox, and the queue that [`write_messages`] reads.
     pub(super) fn new(peer: &str) -> (Outbox, mpsc::Receiver<Message>) {
         let (messages, queue) = mpsc::channel(QUEUE_CAPACITY);
         let outbox = Outbox {
@@ -43,23 +44,23 @@
         (outbox, queue)
     }
 
-    /// Sends a packet, in order.
+    /// Queues a packet; messages are written in the order in which they are queued.
     pub fn send(&self, packet: Packet) {
-        self.queue(Message::Packet(packet));
+        self.enqueue(Message::Packet(packet));
     }
 
-    /// Sends the response to an admin command, in order.
+    /// Queues the response to an admin command.
     pub(super) fn send_text(&self, text: String) {
-        self.queue(Message::Text(text));
+        self.enqueue(Message::Text(text));
     }
 
-    fn queue(&self, message: Message) {
+    fn enqueue(&self, message: Message) {
         if let Err(mpsc::error::TrySendError::Full(_)) = self.messages.try_send(message) {
             self.overflow.notify_one();
         }
     }
 
-    /// Waits until a message found the queue full.
+    /// Waits until a message is dropped because the queue is full.
     pub(super) async fn overflowed(&self) {
         self.overflow.notified().await;
     }
@@ -70,7 +71,8 @@
     }
 }
 
-/// Writes messages until all outboxes are dropped, or the peer reads no more.
+/// Writes queued messages until all clones of the outbox are dropped and the queue is empty, or
+/// until a write fails or exceeds [`WRITE_TIMEOUT`].
 pub(super) async fn write_messages(mut queue: mpsc::Receiver<Message>, mut stream: OwnedWriteHalf) {
     let mut buffer = BytesMut::new();
     while let Some(message) = queue.recv().await {
--- a/crates/net/src/frontend/gearman/workers/kinds.rs
+++ b/crates/net/src/frontend/gearman/workers/kinds.rs
@@ -1,61 +1,63 @@
-//! The machine kinds of worker sessions.
+//! Machine kinds that express which classes a worker session can serve.
 //!
-//! A worker names its functions, and with them a set of classes. The decisions know no such sets,
-//! but classes that allow certain machine kinds only; so each set gets a kind of its own.
+//! The functions of a worker determine a set of classes. The eligibility rules do not know such
+//! sets, but a class may allow certain machine kinds only. So each set of classes gets a machine
+//! kind of its own, which exactly the classes of the set allow.
 
 use pumiceway_decisions::api::{ClassId, KindId, Settings, ZoneId};
 
-/// Classes that worker sessions can be distinguished by. Each set of them is a kind, so the number
-/// of kinds doubles with each class.
+/// Maximum number of classes of a deployment with worker sessions: each set of classes is a kind,
+/// so the number of kinds doubles with each class.
 pub const MAX_CLASSES: usize = 6;
 
 /// The kinds of worker sessions, one for each non-empty set of classes, and their zone.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionKinds {
-    first: usize,
+    /// Index of the first of these kinds; the others follow it.
+    first_kind: usize,
     zone: ZoneId,
 }
 
 impl SessionKinds {
-    /// Adds the kinds to the settings; `None` if there are more than [`MAX_CLASSES`].
+    /// Adds the kinds to the settings; `None` if there are more than [`MAX_CLASSES`] classes.
     pub fn add(settings: &mut Settings) -> Option<SessionKinds> {
         let class_count = settings.classes.len();
         if class_count > MAX_CLASSES {
             return None;
         }
         let kinds = SessionKinds {
-            first: settings.kind_count,
+            first_kind: settings.kind_count,
             zone: settings.home_zone.unwrap_or_default(),
         };
-        let sets = 1..1usize << class_count;
-        settings.kind_count += sets.len();
+        let class_sets = 1..1usize << class_count;
+        settings.kind_count += class_sets.len();
         for (index, class) in settings.classes.iter_mut().enumerate() {
             let allowed = class
                 .allowed_kinds
-                .get_or_insert_with(|| (0..kinds.first).map(KindId).collect());
-            let sets_with_class = sets.clone().filter(|set| set & (1 << index) != 0);
-            allowed.extend(sets_with_class.map(|set| kinds.of_set(set)));
+                .get_or_insert_with(|| (0..kinds.first_kind).map(KindId).collect());
+            let sets_with_class = class_sets.clone().filter(|set| set & (1 << index) != 0);
+            allowed.extend(sets_with_class.map(|set| kinds.kind_of_set(set)));
         }
         Some(kinds)
     }
 
     /// The kind of a session with these classes; `None` if there are none.
-    pub(super) fn of(&self, classes: impl Iterator<Item = ClassId>) -> Option<KindId> {
-        let set = classes.fold(0, |set, class| set | 1 << class.0);
-        (set > 0).then(|| self.of_set(set))
+    pub(super) fn kind_of(&self, classes: impl Iterator<Item = ClassId>) -> Option<KindId> {
+        let class_set = classes.fold(0, |set, class| set | 1 << class.0);
+        (class_set > 0).then(|| self.kind_of_set(class_set))
     }
 
-    /// The kind of a session that is gone.
-    pub(super) fn any(&self) -> KindId {
-        KindId(self.first)
+    /// The kind of a session without classes, whose endpoint is gone.
+    pub(super) fn placeholder(&self) -> KindId {
+        KindId(self.first_kind)
     }
 
     pub(super) fn zone(&self) -> ZoneId {
         self.zone
     }
 
-    /// The kind of a set of classes, which has a bit for each and is not empty.
-    fn of_set(&self, set: usize) -> KindId {
-        KindId(self.first + set - 1)
+    /// The kind of a non-empty set of classes, given as a bit mask of their indices.
+    fn kind_of_set(&self, class_set: usize) -> KindId {
+        KindId(self.first_kind + class_set - 1)
     }
 }
--- a/crates/net/src/frontend/gearman/workers/mod.rs
+++ b/crates/net/src/frontend/gearman/workers/mod.rs
@@ -1,7 +1,7 @@
 //! The worker side: the session of each Gearman worker is an endpoint for as long as it lasts.
 //!
-//! A session runs one job at a time. An attempt is offered to the worker and waits until the worker
-//! grabs it; only from then on may the job have run.
+//! A session runs one job at a time. An attempt is first offered to the worker, and its job may
+//! have run only once the worker has grabbed it.
 
 mod kinds;
 mod session;
@@ -21,26 +21,27 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A worker that does not grab an offered job within this time counts as unreachable.
+/// Time limit for a worker to grab an offered job; after that the attempt ends as if the connection
+/// to the endpoint had failed.
 const GRAB_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The sessions of all workers.
+/// The sessions of all workers. Clones share them.
 #[derive(Clone)]
 pub struct WorkerSessions(Arc<Mutex<Inner>>);
 
 struct Inner {
     events: EventSender,
     kinds: SessionKinds,
-    /// Sessions have all their capacity from the start.
+    /// Sessions have their whole capacity from the start, without slow start.
     skips_slow_start: bool,
     sessions: BTreeMap<u64, Session>,
-    /// The numbers in the names of endpoints. The next session uses the number of one that was
-    /// closed; otherwise each worker that reconnects would leave an endpoint behind.
+    /// Numbers of open sessions in the names of their endpoints. The numbers of closed sessions are
+    /// reused; otherwise each worker that reconnects would leave an endpoint behind.
     endpoint_numbers: BTreeSet<u64>,
 }
 
 impl WorkerSessions {
-    /// No sessions yet.
+    /// Creates an empty set of sessions, which are listed to the core through `events`.
     pub fn new(events: EventSender, kinds: SessionKinds, skips_slow_start: bool) -> WorkerSessions {
         WorkerSessions(Arc::new(Mutex::new(Inner {
             events,
@@ -57,54 +58,54 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// `CAN_DO`: the connection is a worker's from now on.
+    /// `CAN_DO`: adds a function to the worker's session. The first one opens the session.
     pub fn can_do(
         &self,
-        session: u64,
+        session_id: u64,
         opened_at: Timestamp,
         outbox: &Outbox,
         class: ClassId,
         function: String,
     ) {
         let mut inner = self.lock();
-        if !inner.sessions.contains_key(&session) {
+        if !inner.sessions.contains_key(&session_id) {
             let number = inner.allocate_endpoint_number();
-            let new = Session::new(outbox.clone(), number, opened_at);
-            inner.sessions.insert(session, new);
+            let worker = Session::new(outbox.clone(), number, opened_at);
+            inner.sessions.insert(session_id, worker);
         }
-        if let Some(worker) = inner.sessions.get_mut(&session) {
+        if let Some(worker) = inner.sessions.get_mut(&session_id) {
             worker.abilities.insert(class.0, function);
         }
-        inner.list(session, EndpointState::Ready);
+        inner.update_endpoint(session_id, EndpointState::Ready);
     }
 
-    /// `CANT_DO` of a function, or `RESET_ABILITIES` without one.
-    pub fn cant_do(&self, session: u64, function: Option<&str>) {
+    /// `CANT_DO`: removes a function. `RESET_ABILITIES`, if `function` is `None`: removes them all.
+    pub fn cant_do(&self, session_id: u64, function: Option<&str>) {
         let mut inner = self.lock();
-        if let Some(worker) = inner.sessions.get_mut(&session) {
+        if let Some(worker) = inner.sessions.get_mut(&session_id) {
             worker
                 .abilities
                 .retain(|_, name| function.is_some_and(|removed| removed != name));
         }
-        inner.list(session, EndpointState::Ready);
+        inner.update_endpoint(session_id, EndpointState::Ready);
     }
 
-    /// Whether the session is that of a worker.
-    pub fn has(&self, session: u64) -> bool {
-        self.lock().sessions.contains_key(&session)
+    /// Whether the connection with this number has a worker session.
+    pub fn contains(&self, session_id: u64) -> bool {
+        self.lock().sessions.contains_key(&session_id)
     }
 
-    /// `SET_CLIENT_ID`: the name that the worker gives itself.
-    pub fn set_id(&self, session: u64, id: String) {
-        if let Some(worker) = self.lock().sessions.get_mut(&session) {
-            worker.client_id = id;
+    /// `SET_CLIENT_ID`: sets the id that the admin command `workers` shows for the worker.
+    pub fn set_client_id(&self, session_id: u64, client_id: String) {
+        if let Some(worker) = self.lock().sessions.get_mut(&session_id) {
+            worker.client_id = client_id;
         }
     }
 
-    /// `PRE_SLEEP`: the worker sleeps until it is woken.
-    pub fn sleep(&self, session: u64) {
-        if let Some(worker) = self.lock().sessions.get_mut(&session) {
-            // A job may have been offered between the last grab and this packet.
+    /// `PRE_SLEEP`: the worker sleeps until it receives `NOOP`, at once if a job is offered to it.
+    pub fn pre_sleep(&self, session_id: u64) {
+        if let Some(worker) = self.lock().sessions.get_mut(&session_id) {
+            // A job may have been offered between the worker's last GRAB_JOB and this packet.
             worker.is_sleeping = worker.offered.is_none();
             if !worker.is_sleeping {
                 worker.outbox.send(Packet::Noop);
@@ -112,10 +113,10 @@
         }
     }
 
-    /// `GRAB_JOB`: the response to it, which assigns the offered job.
-    pub fn grab(&self, session: u64, with_unique: bool) -> Packet {
+    /// `GRAB_JOB`: returns the response, which assigns the offered job if there is one.
+    pub fn grab_job(&self, session_id: u64, with_unique: bool) -> Packet {
         let mut inner = self.lock();
-        let Some(worker) = inner.sessions.get_mut(&session) else {
+        let Some(worker) = inner.sessions.get_mut(&session_id) else {
             return Packet::NoJob;
         };
         worker.is_sleeping = false;
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Progress of a running job; returns false if the worker does not run it.
-    pub fn update(&self, session: u64, handle: &str, update: AttemptUpdate) -> bool {
+    /// Reports progress of a running job; returns false if the worker does not run it.
+    pub fn job_updated(&self, session_id: u64, handle: &str, update: AttemptUpdate) -> bool {
         let inner = self.lock();
-        let worker = inner.sessions.get(&session);
+        let worker = inner.sessions.get(&session_id);
         let Some(attempt) = worker.and_then(|worker| worker.running.get(handle)) else {
             return false;
         };
@@ -155,41 +156,42 @@
         true
     }
 
-    /// A job has ended; returns false if the worker does not run it.
-    pub fn ended(&self, session: u64, handle: &str, outcome: AttemptOutcome) -> bool {
+    /// Reports the end of a running job; returns false if the worker does not run it.
+    pub fn job_ended(&self, session_id: u64, handle: &str, outcome: AttemptOutcome) -> bool {
         let mut inner = self.lock();
-        let worker = inner.sessions.get_mut(&session);
+        let worker = inner.sessions.get_mut(&session_id);
         let Some(attempt) = worker.and_then(|worker| worker.running.remove(handle)) else {
             return false;
         };
         match attempt {
             Some(attempt) => inner.attempt_ended(attempt, outcome),
-            None => inner.list(session, EndpointState::Ready),
+            None => inner.update_endpoint(session_id, EndpointState::Ready),
         }
         true
     }
 
-    /// The connection is closed, and the endpoint gone.
-    pub fn closed(&self, session: u64) {
+    /// Ends the worker session of a closed connection, if it has one: its endpoint is gone, and its
+    /// attempts end.
+    pub fn connection_closed(&self, session_id: u64) {
         let mut inner = self.lock();
-        inner.list(session, EndpointState::Gone);
-        let Some(worker) = inner.sessions.remove(&session) else {
+        inner.update_endpoint(session_id, EndpointState::Gone);
+        let Some(worker) = inner.sessions.remove(&session_id) else {
             return;
         };
         inner.endpoint_numbers.remove(&worker.endpoint_number);
         if let Some(offered) = worker.offered {
             inner.attempt_ended(offered.attempt, AttemptOutcome::ConnectFailed);
         }
-        // A job that the worker has grabbed may have run.
+        // Not `ConnectFailed`: a job that the worker has grabbed may have run.
         for attempt in worker.running.into_values().flatten() {
             inner.attempt_ended(attempt, AttemptOutcome::Reset);
         }
     }
 
-    /// Offers an attempt to a worker.
-    pub fn start(&self, session: u64, attempt: AttemptId, class: ClassId, job: Arc<Job>) {
+    /// Offers an attempt to a worker, and wakes the worker if it sleeps.
+    pub fn start(&self, session_id: u64, attempt: AttemptId, class: ClassId, job: Arc<Job>) {
         let mut inner = self.lock();
-        let Some(worker) = inner.sessions.get_mut(&session) else {
+        let Some(worker) = inner.sessions.get_mut(&session_id) else {
             return inner.attempt_ended(attempt, AttemptOutcome::ConnectFailed);
         };
         if worker.is_busy() || !worker.can_do(class) {
@@ -206,14 +208,15 @@
         let sessions = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(GRAB_TIMEOUT).await;
-            sessions.withdraw(session, attempt);
+            sessions.withdraw(session_id, attempt);
         });
     }
 
-    /// Withdraws an attempt that was not grabbed, so that it can be sent to another worker.
-    fn withdraw(&self, session: u64, attempt: AttemptId) {
+    /// Withdraws an attempt that the worker has not grabbed, so that the job can be sent to another
+    /// one.
+    fn withdraw(&self, session_id: u64, attempt: AttemptId) {
         let mut inner = self.lock();
-        let Some(worker) = inner.sessions.get_mut(&session) else {
+        let Some(worker) = inner.sessions.get_mut(&session_id) else {
             return;
         };
         if worker.is_offered(attempt) {
@@ -222,29 +225,30 @@
         }
     }
 
-    /// Aborts an attempt. Gearman cannot cancel a job: a worker that has grabbed it remains busy.
+    /// Aborts an attempt. Gearman cannot cancel a job, so a worker that has grabbed it stays busy.
     pub fn abort(&self, attempt: AttemptId) {
         let mut inner = self.lock();
         let mut busy_session = None;
-        for (&session, worker) in &mut inner.sessions {
+        for (&session_id, worker) in &mut inner.sessions {
             if worker.is_offered(attempt) {
                 worker.offered = None;
             }
             for running in worker.running.values_mut() {
                 if *running == Some(attempt) {
                     *running = None;
-                    busy_session = Some(session);
+                    busy_session = Some(session_id);
                 }
             }
         }
-        if let Some(session) = busy_session {
-            inner.list(session, EndpointState::Ready);
+        if let Some(session_id) = busy_session {
+            inner.update_endpoint(session_id, EndpointState::Ready);
         }
     }
 
-    /// The result of a health check. The sessions are known here, so the worker is not asked.
-    pub fn check_health(&self, session: u64) -> (Outcome, Option<LoadReport>) {
-        match self.lock().sessions.get(&session) {
+    /// Returns the result of a health check from the state of the session, without a message to the
+    /// worker.
+    pub fn check_health(&self, session_id: u64) -> (Outcome, Option<LoadReport>) {
+        match self.lock().sessions.get(&session_id) {
             None => (Outcome::ConnectFailed, None),
             Some(worker) => {
                 let free_slots = if worker.is_busy() { 0.0 } else { 1.0 };
@@ -257,32 +261,32 @@
         }
     }
 
-    /// The lines of the admin command `workers`.
-    pub fn lines(&self) -> String {
+    /// The lines of the response to the admin command `workers`.
+    pub fn admin_lines(&self) -> String {
         let inner = self.lock();
         inner
             .sessions
             .iter()
-            .map(|(&session, worker)| worker.line(session))
+            .map(|(&session_id, worker)| worker.admin_line(session_id))
             .collect()
     }
 
-    /// The number of workers that can do a function, for the admin command `status`.
-    pub fn able(&self, functions: &Functions, name: &str) -> usize {
+    /// Counts the workers that can do a function, for the admin command `status`.
+    pub fn count_able(&self, functions: &Functions, name: &str) -> usize {
         let Some(class) = functions.class(name) else {
             return 0;
         };
         let inner = self.lock();
-        let able = inner
+        inner
             .sessions
             .values()
-            .filter(|worker| worker.can_do(class));
-        able.count()
+            .filter(|worker| worker.can_do(class))
+            .count()
     }
 }
 
 impl Inner {
-    /// The lowest number that no endpoint has.
+    /// Reserves the lowest number that no open session has.
     fn allocate_endpoint_number(&mut self) -> u64 {
         let number = (0..)
             .find(|number| !self.endpoint_numbers.contains(number))
@@ -291,15 +295,16 @@
         number
     }
 
-    /// Sends the session as an endpoint to the core, in this state or in one with less capacity.
-    fn list(&self, session: u64, state: EndpointState) {
-        let Some(worker) = self.sessions.get(&session) else {
+    /// Sends the core the endpoint of a session in this state, or in the state that
+    /// [`Session::endpoint`] derives for a worker that cannot take a job.
+    fn update_endpoint(&self, session_id: u64, state: EndpointState) {
+        let Some(worker) = self.sessions.get(&session_id) else {
             return;
         };
-        let endpoint = worker.endpoint(session, state, &self.kinds, self.skips_slow_start);
+        let endpoint = worker.endpoint(session_id, state, &self.kinds, self.skips_slow_start);
         self.events.send(Event::EndpointListUpdated {
             source: EndpointSource::Gearman,
-            // Sessions have no lease that a time could renew.
+            // Sessions have no lease, so the time of the update does not matter.
             as_of: Timestamp::ORIGIN,
             update: EndpointListUpdate::Delta(vec![endpoint]),
         });
@@ -318,8 +323,8 @@
     }
 }
 
-/// The progress in a `WORK_STATUS` packet.
-pub fn fraction(numerator: u64, denominator: u64) -> AttemptUpdate {
+/// Converts the progress in a `WORK_STATUS` packet.
+pub fn progress_update(numerator: u64, denominator: u64) -> AttemptUpdate {
     let fraction = if denominator == 0 {
         0.0
     } else {
--- a/crates/net/src/frontend/gearman/workers/session.rs
+++ b/crates/net/src/frontend/gearman/workers/session.rs
@@ -7,30 +7,31 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The relative size of a session: a worker for one job at a time, beside machines of several
-/// cores.
+/// Relative size of a session: a worker runs one job at a time, while the machines of other
+/// endpoints have several cores.
 const RELATIVE_SIZE: f64 = 0.25;
 
-/// An attempt that the worker is to grab.
+/// An attempt that is offered to a worker, which has not grabbed it yet.
 pub(super) struct OfferedJob {
     pub attempt: AttemptId,
     pub class: ClassId,
     pub job: Arc<Job>,
 }
 
+/// The state of a worker session.
 pub(super) struct Session {
     pub outbox: Outbox,
-    /// The number in the endpoint's name.
+    /// Number in the name of the session's endpoint.
     pub endpoint_number: u64,
     pub opened_at: Timestamp,
-    /// The name that the worker gives itself.
+    /// Id that the worker has set with `SET_CLIENT_ID`; `-` if it has set none.
     pub client_id: String,
-    /// The classes of its functions, and their names.
+    /// Names of the functions that the worker can do, by the index of their class.
     pub abilities: BTreeMap<usize, String>,
-    /// The worker sleeps until it is woken with a NOOP packet.
+    /// The worker has sent `PRE_SLEEP` and waits for a `NOOP` packet.
     pub is_sleeping: bool,
     pub offered: Option<OfferedJob>,
-    /// The jobs that the worker runs, by handle; `None` once the attempt was aborted.
+    /// The attempts whose jobs the worker runs, by job handle; `None` once the attempt is aborted.
     pub running: HashMap<String, Option<AttemptId>>,
 }
 
@@ -62,20 +63,20 @@
             .is_some_and(|offered| offered.attempt == attempt)
     }
 
-    /// The session as an endpoint.
+    /// Describes the session as an endpoint. It is gone while the worker has no functions.
     pub fn endpoint(
         &self,
-        session: u64,
+        session_id: u64,
         state: EndpointState,
         kinds: &SessionKinds,
         skips_slow_start: bool,
     ) -> Endpoint {
-        let kind = kinds.of(self.abilities.keys().map(|&class| ClassId(class)));
+        let kind = kinds.kind_of(self.abilities.keys().map(|&class| ClassId(class)));
         Endpoint {
             name: format!("gearman:{:04}", self.endpoint_number),
-            address: EndpointAddress::Session(session),
+            address: EndpointAddress::Session(session_id),
             zone: kinds.zone(),
-            kind: kind.unwrap_or(kinds.any()),
+            kind: kind.unwrap_or(kinds.placeholder()),
             cell: None,
             state: if kind.is_some() {
                 self.effective_state(state)
@@ -89,8 +90,8 @@
         }
     }
 
-    /// A worker that still runs an aborted job drains: only the session knows that it is busy, and
-    /// would reject every attempt.
+    /// A worker that still runs an aborted job is listed as draining: the core does not know that
+    /// it is busy, and the session would reject every attempt.
     fn effective_state(&self, state: EndpointState) -> EndpointState {
         let runs_aborted_job = self.running.values().any(Option::is_none);
         if state == EndpointState::Ready && runs_aborted_job {
@@ -100,8 +101,8 @@
         }
     }
 
-    /// The line of the admin command `workers`.
-    pub fn line(&self, session: u64) -> String {
+    /// The worker's line in the response to the admin command `workers`.
+    pub fn admin_line(&self, session_id: u64) -> String {
         let functions: String = self
             .abilities
             .values()
@@ -109,6 +110,6 @@
             .collect();
         let peer = self.outbox.peer();
         let client_id = &self.client_id;
-        format!("{session} {peer} {client_id} :{functions}\n")
+        format!("{session_id} {peer} {client_id} :{functions}\n")
     }
 }
