--- a/crates/net/tests/gearman_frontend.rs
+++ b/crates/net/tests/gearman_frontend.rs
@@ -1,4 +1,7 @@
-//! The Gearman frontend, for clients and workers, on loopback.
+//! The Gearman frontend with clients and workers on loopback.
+//!
+//! In the scenarios `rate-push` is idempotent and `booking-import` is not. The response to an
+//! `ECHO_REQ` shows that the dispatcher has handled all packets that the peer sent before it.
 
 use pumiceway_test_support::ScenarioRunner;
 
@@ -55,7 +58,8 @@
     );
 }
 
-// The import may have run, so it is not retried.
+// Either job may have run on the worker that disconnects. Only the push is idempotent, so only the
+// push may be retried on the second worker.
 #[test]
 fn the_import_of_a_worker_that_disconnects_fails_and_its_push_is_retried() {
     let worker_disconnects = |function: &str| {
@@ -76,7 +80,8 @@
     };
     let import = "g1 expect [WORK_WARNING *|*]
          g1 expect [WORK_FAIL *]
-         # A retry of the client gets the cached response, and the idle worker gets no job.
+         # The client submits the import again: it gets the cached response, and the idle worker
+         # gets no job.
          g4 send [SUBMIT_JOB booking-import|u1|x]
          g4 expect [JOB_CREATED *]
          g4 expect [WORK_WARNING *|*]
@@ -112,7 +117,7 @@
          g4 send [SUBMIT_JOB booking-import|u1|x]
          g4 expect [JOB_CREATED *]
          g4 expect [WORK_COMPLETE *|imported]
-         # The worker gets no second job.
+         # The import has run once: the worker gets no second job.
          g2 send [GRAB_JOB]
          g2 expect [NO_JOB]",
     );
@@ -133,7 +138,8 @@
     );
 }
 
-// Connections without a whole packet must not use up the permits.
+// Connections on which no whole packet arrives must not hold their permits until the limit is
+// reached. A worker that waits for a job is not closed: it still receives one.
 #[test]
 fn connections_without_a_whole_packet_are_closed_and_waiting_workers_are_not() {
     ScenarioRunner::run(
@@ -156,12 +162,17 @@
 #[test]
 fn malformed_packets_get_an_error_and_end_the_connection() {
     for packet in [
+        // the magic bytes of a response
         r"raw \0RES\0\0\0\0\0\0\0\0",
+        // an unknown packet type
         r"raw \0REQ\0\0\0c\0\0\0\0",
+        // a body that exceeds the size limit
         r"raw \0REQ\0\0\0\0zzzz",
+        // missing, empty and non-numeric arguments
         "[SUBMIT_JOB rate-push]",
         "[CAN_DO ]",
         "[WORK_STATUS h|x|y]",
+        // a packet that only the dispatcher sends
         "[JOB_CREATED h]",
     ] {
         ScenarioRunner::run(
@@ -169,7 +180,7 @@
             &format!("g1 send {packet}\n g1 expect [ERROR MALFORMED|*]\n g1 expect end"),
         );
     }
-    // These are well formed: they get an error, and the connection stays open.
+    // Well-formed packets that are rejected get an error, and the connection stays open.
     ScenarioRunner::run(
         &[],
         "g1 send [SUBMIT_JOB other||x]
