--- a/crates/net/src/config/gearman.rs
+++ b/crates/net/src/config/gearman.rs
@@ -58,7 +58,7 @@
     jobs: usize,
     #[serde(default = "default_queue")]
     queue: usize,
-    #[serde(default = "default_skips_slow_start")]
+    #[serde(default = "default_warm")]
     #[serde(rename = "warm")]
     skips_slow_start: bool,
     #[serde(default = "default_retention_s")]
@@ -92,7 +92,7 @@
     256
 }
 
-fn default_skips_slow_start() -> bool {
+fn default_warm() -> bool {
     true
 }
 
