--- a/crates/net/src/discovery/call_schedule.rs
+++ b/crates/net/src/discovery/call_schedule.rs
@@ -15,10 +15,12 @@
 
 /// Mean interval between the calls of the whole fleet when all dispatchers start together.
 const FLEET_CALL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which a change counts as notified, whether the dispatcher has received it or not.
-const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// The same after a reload that changed the address of discovery.
-const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// A dispatcher counts as notified of a change this long after discovery had the change and could
+/// be reached, whether or not the change arrived. Copy of a limit of the leases; see
+/// [`LeaseTerms`](pumiceway_decisions::rules::LeaseTerms).
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
+/// The same limit after a reload that changed the address of discovery.
+const MAX_NOTIFICATION_DELAY_AFTER_MOVE: Duration = Duration::from_secs(4);
 /// Maximum delay of the first call while a request is waiting for the list.
 const MAX_ON_DEMAND_DELAY: Duration = Duration::from_millis(500);
 /// Minimum delay between the end of a call and the next call.
@@ -112,7 +114,9 @@
     /// It is shorter than [`CallSchedule::first`], because a new configuration reaches the
     /// dispatchers one after another and the service at the old address soon ends its watches.
     pub fn first_moved(&self, random: f64) -> Duration {
-        self.window.min(NOTIFIED_AFTER_MOVE / 4).mul_f64(random)
+        self.window
+            .min(MAX_NOTIFICATION_DELAY_AFTER_MOVE / 4)
+            .mul_f64(random)
     }
 
     /// Returns the delay between the end of a call and the next call. `open_for` is how long the
@@ -126,7 +130,7 @@
         }
         let window = match self.failures {
             // A longer delay would end after changes between the two watches count as notified.
-            0 => self.window.min(NOTIFIED_AFTER / 2),
+            0 => self.window.min(MAX_NOTIFICATION_DELAY / 2),
             failures => self
                 .window
                 .saturating_mul(1 << failures)
--- a/crates/net/src/discovery/call_schedule/tests.rs
+++ b/crates/net/src/discovery/call_schedule/tests.rs
@@ -116,12 +116,12 @@
                 "{instances}"
             );
             assert!(
-                schedule.first_moved(1.0) + SERVICE_TIMEOUT <= NOTIFIED_AFTER_MOVE,
+                schedule.first_moved(1.0) + SERVICE_TIMEOUT <= MAX_NOTIFICATION_DELAY_AFTER_MOVE,
                 "{instances}"
             );
             assert!(
                 schedule.next(MIN_SUCCESSFUL_WATCH * 2, true, 1.0) + SERVICE_TIMEOUT
-                    <= NOTIFIED_AFTER,
+                    <= MAX_NOTIFICATION_DELAY,
                 "{instances}"
             );
             // Changes that a silent watch does not send count as notified this long after its last
@@ -129,7 +129,7 @@
             // then more calls would fail and be repeated later.
             assert!(
                 MESSAGE_TIMEOUT + schedule.next(MIN_SUCCESSFUL_WATCH * 2, false, 1.0)
-                    <= NOTIFIED_AFTER,
+                    <= MAX_NOTIFICATION_DELAY,
                 "{instances}"
             );
             let after_failures = max_delay_after_failures(&mut schedule);
