--- a/crates/decisions/src/api/endpoint.rs
+++ b/crates/decisions/src/api/endpoint.rs
@@ -37,8 +37,8 @@
     pub relative_size: f64,
     /// It has its full capacity from the start and needs no slow start.
     pub skips_slow_start: bool,
-    /// Concurrency limit in requests of any size, above which it rejects requests; `None`: it
-    /// queues them.
+    /// Maximum number of concurrent requests, whatever their size; it rejects any more. `None`: it
+    /// queues requests instead.
     pub max_concurrent: Option<u32>,
 }
 
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -8,7 +8,7 @@
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its handle, not used before.
+    /// Its id, not used before.
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
@@ -16,7 +16,8 @@
     pub remaining: Duration,
     /// Slots that it uses at an endpoint.
     pub slots: f64,
-    /// Memory that it uses, in slots' worth: an endpoint has as much memory as slots.
+    /// Memory that it uses, in slots' worth: one unit is the memory of an endpoint divided by the
+    /// number of its slots.
     pub memory: f64,
     /// Expected work, as running time on a standard core.
     pub work_hint: Option<Duration>,
@@ -84,7 +85,7 @@
 /// An event that the host passes to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// The endpoint list, or a change to it. The first event of a new instance is its list.
+    /// The endpoint list, or a change to it. The first event that a balancer gets is a list.
     EndpointList {
         /// The meaning of the entries.
         kind: ListKind,
--- a/crates/decisions/src/api/ids.rs
+++ b/crates/decisions/src/api/ids.rs
@@ -1,20 +1,19 @@
-//! Handles of requests and endpoints, and indices into the settings.
+//! Ids of requests and endpoints, and indices into the settings.
 
-/// Handle of a request, chosen by the host; never reused for the same
-/// [`Balancer`](crate::Balancer).
+/// Id of a request, chosen by the host; never reused for the same [`Balancer`](crate::Balancer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Handle of an endpoint, chosen by the host. Handles are small integers, dense from 0, and stay
-/// the same as long as the endpoint keeps its name.
+/// Id of an endpoint, chosen by the host. Ids are small integers, dense from 0, and stay the same
+/// as long as the endpoint keeps its name.
 ///
-/// The host may reuse a handle for another name once the endpoint is gone, no health check of it is
-/// in flight, and no open request has an attempt there.
+/// The host may reuse an id for another name once the endpoint is gone, no health check of it is in
+/// flight, and no open request has an attempt there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
 impl EndpointId {
-    /// The handle as an index into a per-endpoint table.
+    /// The id as an index into a per-endpoint table.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
--- a/crates/decisions/src/api/mod.rs
+++ b/crates/decisions/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The interface between the balancer and its host: settings, events and actions.
 //!
-//! The host assigns integer handles to requests and endpoints; classes, zones and machine kinds are
-//! indices into the [`Settings`]. Decisions therefore do not depend on names, except that the
-//! names of endpoints determine the preference order and hashes that all dispatchers share.
+//! The host assigns integer ids to requests and endpoints; classes, zones and machine kinds are
+//! indices into the [`Settings`]. Decisions therefore do not depend on names, except that the names
+//! of endpoints determine the preference order and hashes that all dispatchers share.
 //!
 //! All times are points on the host's monotonic clock ([`Timestamp`]), whose origin is arbitrary.
 
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -40,7 +40,7 @@
     pub classes: Vec<Class>,
     /// The tenants; empty if requests are not assigned to tenants.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a share (0 to 1) of its class's
+    /// Priority weight of a request beyond its tenant's quota, as a share (0 to 1) of its class's
     /// priority weight.
     pub over_quota_weight: f64,
     /// Costs of operations.
@@ -51,8 +51,8 @@
     pub polls_discovery: bool,
     /// A dispatcher that has not polled for this long counts as notified of every change.
     pub max_poll_interval: Duration,
-    /// How long after a notification that an endpoint is draining or gone the dispatcher may still
-    /// send something new to it.
+    /// How long the dispatcher may still send new requests and health checks to an endpoint after
+    /// it was notified that the endpoint is draining or gone.
     pub drain_grace: Duration,
     /// Health checks are allowed.
     pub health_checks: bool,
@@ -86,7 +86,8 @@
     pub overload_multiple: f64,
     /// Window over which `overload_multiple` is measured.
     pub overload_window: Duration,
-    /// Maximum number of queued requests; a further one sheds the least valuable. 0 for no limit.
+    /// Maximum number of queued requests; when it is exceeded, the least valuable request is shed.
+    /// 0 for no limit.
     pub max_queued: usize,
 }
 
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -13,7 +13,7 @@
 
 /// Ticks between the latest start of a request and its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 2;
-/// Objective stretch above this is slack.
+/// The part of the objective stretch above this is slack.
 const STRETCH_WITHOUT_SLACK: f64 = 1.2;
 /// The share of the slack that may be spent in the queue. More would raise the learnt running time,
 /// and with it this allowance.
--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -22,8 +22,7 @@
 const FULL_AT_ZONE_USAGE: f64 = 0.5;
 /// The share of its objective that a request queued at an endpoint keeps for its running time.
 const RUN_SHARE_OF_OBJECTIVE: f64 = 0.5;
-/// A request of several slots may lack fewer than this many at the endpoint where it is queued for
-/// them.
+/// A request of several slots may be queued at an endpoint where it lacks fewer than this many.
 const MAX_MISSING_SLOTS: f64 = 1.0;
 
 impl Balancer {
@@ -58,7 +57,8 @@
         mean + (endpoint.others_slots - mean) * decay(age_us, LOAD_ESTIMATE_TIME_CONSTANT_US)
     }
 
-    /// What other dispatchers are estimated to use of an endpoint, apart from its own reports.
+    /// How many of the `total` slots of an endpoint other dispatchers are estimated to use if it
+    /// has sent no recent report. The estimate from its reports decays to this.
     fn mean_others_slots(&self, now: Timestamp, endpoint: &Endpoint, total: f64) -> f64 {
         let uses_zone_mean = self.uses_zone_mean(endpoint);
         // Where no endpoint reports, a guess that nothing can correct would keep all requests away
@@ -95,8 +95,8 @@
         self.is_large_polled_fleet() && self.state.kind_slots[endpoint.kind.0] == 0.0
     }
 
-    /// Whether an endpoint would start the request now and keep `spare_slots` free. If the request
-    /// leaves fewer slots than that, these are enough.
+    /// Whether an endpoint would start the request now and keep `spare_slots` free. At an endpoint
+    /// with too few slots for both, all slots beside the request have to be free.
     pub(super) fn would_start_now(
         &self,
         now: Timestamp,
@@ -126,8 +126,9 @@
     /// objective.
     ///
     /// True only where no endpoint of the kind has reported its slots, or for a request of several
-    /// slots that lacks less than one while none is queued here: that many slots are seldom free at
-    /// once unless the request waits for them at the head of the endpoint's queue.
+    /// slots that lacks less than one while this dispatcher has no request queued: that many slots
+    /// are seldom free at once unless the request waits for them at the head of the endpoint's
+    /// queue.
     pub(super) fn would_start_soon(
         &self,
         now: Timestamp,
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -6,10 +6,10 @@
 //! - When the endpoint is silent for several mean running times with an attempt of this dispatcher
 //!   in flight.
 //! - In rotation, so that something is known of the endpoints that are not at the head of the
-//!   preference order. With three endpoints per dispatcher or more, each gets one check while as
-//!   many requests arrive as there are endpoints. With fewer, the checks are proportionally fewer,
-//!   down to none where dispatchers outnumber endpoints: there, all dispatchers would send to the
-//!   few endpoints that old reports show as empty.
+//!   preference order. With three endpoints per dispatcher or more, each endpoint is checked once
+//!   in the time in which as many requests arrive as there are endpoints. With fewer, a smaller
+//!   share of the endpoints is checked, down to none where dispatchers outnumber endpoints: there,
+//!   all dispatchers would send to the few endpoints that old reports show as empty.
 
 use super::Balancer;
 use crate::api::{Action, EndpointId, HealthCheckResult, Outcome, RequestId, Timestamp};
--- a/crates/decisions/src/policy/load_reports.rs
+++ b/crates/decisions/src/policy/load_reports.rs
@@ -2,8 +2,8 @@
 //!
 //! A report gives the slots and memory in use, by this dispatcher and by others, and the
 //! throughput. What other dispatchers use is kept as a moving average for the endpoint, and as a
-//! mean for its zone. A report as old as a running request says little more than the mean of the
-//! zone, so its weight falls with the interval between reports.
+//! mean for its zone. A report that is as old as requests take to run says little more than the
+//! mean of the zone, so reports have less weight the longer the interval between them.
 
 use super::Balancer;
 use crate::api::{EndpointId, LoadReport, Timestamp};
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -100,8 +100,8 @@
 
     /// Handles one event and appends the resulting actions, to be carried out in order.
     ///
-    /// Every endpoint handle must have appeared in an endpoint list, and every index must be in
-    /// range. Events for requests that are already over are ignored.
+    /// Every endpoint id must have appeared in an endpoint list, and every index must be in range.
+    /// Events for requests that are already over are ignored.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         match event {
--- a/crates/decisions/src/policy/preference.rs
+++ b/crates/decisions/src/policy/preference.rs
@@ -1,16 +1,16 @@
 //! The order in which endpoints are considered for a request.
 //!
-//! For each class, the endpoints that it may use are grouped into blocks: the home zone before all
-//! other zones, and within each of the two first the general kinds, then the kinds that a more
-//! restricted class requires, then the kinds too slow for the tightest objective. Within a block,
+//! For each class, the endpoints that it may use are grouped into blocks: three for the home zone,
+//! then three for all other zones together. The three are the general kinds, the kinds that a more
+//! restricted class requires, and the kinds too slow for the tightest objective. Within a block,
 //! endpoints are in the order of their names. The order depends only on the endpoint list and on
 //! learnt slots.
 //!
-//! There are two departures from Allocation Priority Policies. Dispatchers share one order of names
-//! and would all start at the head of each block, so each starts at a position of its own. And
-//! where dispatchers outnumber endpoints, the order is computed for each request: in the order of
+//! The order departs from the Allocation Priority Policies in two ways. In a common order of names,
+//! all dispatchers would start at the head of each block, so each starts at a position of its own.
+//! Where dispatchers outnumber endpoints, the order is computed for each request: in the order of
 //! the list, few dispatchers would find the endpoints that are warm for a request, or use their
-//! turns of endpoints in slow start.
+//! turns at endpoints in slow start.
 
 use super::Balancer;
 use crate::api::{Class, EndpointId, KindId, Timestamp};
@@ -31,9 +31,9 @@
 /// A kind is slow if its relative size per slot, times the smallest objective stretch, is below
 /// this multiple of the mean size per slot.
 const SLOW_KIND_MULTIPLE: f64 = 1.1;
-/// Requests with the same affinity key are sent to the number of candidates divided by this ...
+/// Requests with the same affinity key use one in this many of the candidates ...
 const AFFINITY_DIVISOR: usize = 4;
-/// ... but to at least this many.
+/// ... but at least this many candidates.
 const MIN_AFFINITY_ENDPOINTS: usize = 4;
 /// A request waits for these endpoints for this share of its objective before any other may serve
 /// it.
@@ -170,9 +170,9 @@
 
     /// The members of a block, starting at this dispatcher's own position.
     ///
-    /// Where several dispatchers share a starting position, the requests that a full endpoint turns
-    /// away would all go to the same next endpoint. Each dispatcher therefore uses a step of its
-    /// own that is coprime to the number of members, and so visits every member once.
+    /// Where several dispatchers share a starting position, the requests that find the first
+    /// endpoint full would all go to the same second one. Each dispatcher therefore uses a step of
+    /// its own that is coprime to the number of members, and so visits every member once.
     fn order_for_instance(&self, members: &[EndpointId]) -> impl Iterator<Item = EndpointId> {
         let count = members.len();
         let start = count * self.settings.instance_index / self.settings.instance_count;
@@ -216,7 +216,7 @@
 
     /// Orders the candidates where dispatchers outnumber the endpoints of a class. Endpoints in
     /// slow start come first, so that their turns are used. Slow endpoints come last, and are left
-    /// out until the request may cross zones instead.
+    /// out until the request may cross zones.
     fn order_for_large_fleet(
         &self,
         now: Timestamp,
@@ -256,8 +256,8 @@
     /// request.
     ///
     /// Otherwise every endpoint would fetch the data of every key, and all would wait for the store
-    /// from which they fetch it. While these few endpoints are full the request waits a little: a
-    /// fetch elsewhere would keep all endpoints full for longer.
+    /// from which they fetch it. While these few endpoints are full, the request waits a little:
+    /// fetching the data elsewhere too would keep all endpoints full for longer.
     fn retain_affinity_endpoints(
         &self,
         now: Timestamp,
@@ -282,8 +282,9 @@
         }
     }
 
-    /// Swaps the first two candidates for an affinity key on half of the dispatchers, as all
-    /// dispatchers have the same order of endpoints for it.
+    /// Swaps the first two candidates for an affinity key on half of the dispatchers. All
+    /// dispatchers have the same order of endpoints for a key, so its requests would otherwise all
+    /// go to the same one first.
     fn swap_first_two(&self, request: &Request, candidates: &mut [Candidate]) {
         let instance = self.settings.instance_index as u64;
         let swaps = request
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -55,8 +55,8 @@
         Some(before)
     }
 
-    /// Releases what an attempt takes of its endpoint. For an overdue attempt, that was released
-    /// before.
+    /// Releases the capacity reserved for an attempt. That of an overdue attempt was released when
+    /// it became overdue.
     fn release_attempt(&mut self, now: Timestamp, id: RequestId, attempt: &Attempt) {
         if attempt.is_overdue {
             return;
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -2,9 +2,9 @@
 //!
 //! Inputs: the preference order, what the rules permit, the estimated capacity of each endpoint,
 //! and the age of that estimate. An endpoint without a recent update is checked first, so that a
-//! request is not sent to an endpoint that had capacity a while ago. Other zones are considered
-//! once the request has waited for a share of its latency objective, so that it does not pay for
-//! crossing zones just before an endpoint in the home zone has capacity.
+//! request is not sent to an endpoint that has lost its capacity since the update. Other zones are
+//! considered once the request has waited for a share of its latency objective, so that it does not
+//! pay for crossing zones just before an endpoint in the home zone has capacity.
 
 use super::Balancer;
 use super::capacity::LOAD_ESTIMATE_TIME_CONSTANT_US;
@@ -14,18 +14,19 @@
 use crate::state::Request;
 use crate::time::{from_micros_f64, micros_f64};
 
-/// Slots that an endpoint keeps free where dispatchers outnumber endpoints, as long as any endpoint
-/// can: other dispatchers see the same report, and more than one may act on it before the next.
+/// In a large fleet where load can be polled, an endpoint that keeps this many slots free is
+/// preferred: other dispatchers see the same report, and more than one may act on it before the
+/// next.
 const SPARE_SLOTS: f64 = 2.0;
 /// Health checks sent for one request before it is sent based on the estimate alone.
 const MAX_CHECKS_PER_REQUEST: u32 = 4;
-/// Load reports describe the present if the interval between their changes is below this share of a
+/// Load reports count as current if the interval between their changes is below this share of a
 /// mean running time.
 const CURRENT_REPORT_INTERVAL_RUNS: f64 = 0.33;
 /// An update of an endpoint is recent for this share of a mean running time.
 const RECENT_UPDATE_RUNS: f64 = 0.25;
-/// A request waits for the home zone for the share of its objective that equals the price of
-/// crossing zones, but for no more than this share.
+/// How long a request waits for the home zone, as a share of its objective, is the price of
+/// crossing zones, but at most this.
 const MAX_HOME_ZONE_WAIT: f64 = 0.5;
 
 /// Whether a request may be sent to an endpoint where it would be queued.
@@ -57,7 +58,7 @@
     permission: &'a Permission,
     /// An update at this time or later is recent.
     recent_since: Timestamp,
-    /// Whether load reports describe the present.
+    /// Whether load reports change often enough to count as current.
     reports_are_current: bool,
 }
 
@@ -171,9 +172,10 @@
     ) -> Option<Selection> {
         let SelectionContext { now, request, .. } = *context;
         let endpoint = self.state.endpoint(id);
-        // While the mean usage by other dispatchers leaves no capacity, an endpoint without a
-        // recent report would never be found free, so it is checked. That holds only where reports
-        // are current: older ones show capacity that other dispatchers have taken since.
+        // Without a recent report, the estimated load is close to the mean of the zone. While that
+        // mean leaves no capacity, the endpoint would never be found free, so it is checked. This
+        // is done only where reports are current: others show capacity that other dispatchers have
+        // taken since.
         let load_is_unknown = context.reports_are_current
             && now.micros_since(endpoint.reported_at) as f64 > LOAD_ESTIMATE_TIME_CONSTANT_US;
         let would_start = self.would_start_now(now, endpoint, request, spare_slots);
@@ -202,9 +204,9 @@
     /// Selects the first endpoint whose queue would start the request while that still meets its
     /// objective.
     ///
-    /// `would_start_soon` rarely allows this: requests that may wait for long would fill the queues
-    /// of all endpoints, and requests that may not, although worth more per slot-time, would never
-    /// find a free slot.
+    /// `would_start_soon` rarely allows this. Otherwise requests that can wait for long would fill
+    /// the queues of all endpoints, and requests that cannot, even if worth more per slot-time,
+    /// would never find a free slot.
     fn select_for_queueing(&self, context: &SelectionContext) -> Selection {
         let SelectionContext {
             now,
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -15,8 +15,8 @@
 
 /// Number of turns in a window.
 const TURNS_PER_WINDOW: u64 = 2;
-/// A sliding window overlaps one turn more than it contains, and all of these together grant the
-/// budget.
+/// A sliding window overlaps one turn more than it contains, so a turn grants the budget of a
+/// window divided by this.
 const TURNS_OVERLAPPING_WINDOW: u64 = TURNS_PER_WINDOW + 1;
 /// The grant for requests with a work hint, as a multiple of the longest mean running time of a
 /// class. It is the same for all of them: if it depended on the request, there would always be a
@@ -139,7 +139,7 @@
     }
 
     /// How many of the grants of a turn belong to this dispatcher. The remainder is spread evenly,
-    /// however the numbers of dispatchers are assigned to zones.
+    /// however the indices of dispatchers are assigned to zones.
     fn own_grants(&self, endpoint: &Endpoint, turn: u64, grants: f64) -> f64 {
         let offset = unit_hash(endpoint.process_hash ^ turn);
         let position = (golden_multiple(self.settings.instance_index) + offset).fract();
--- a/crates/decisions/src/policy/start_signals.rs
+++ b/crates/decisions/src/policy/start_signals.rs
@@ -16,7 +16,7 @@
 const USAGE_AT_PROMPT_START: f64 = 0.3;
 /// The least zone usage that a late start indicates.
 const USAGE_AT_LATE_START: f64 = 1.5;
-/// EWMA weight of either in the zone usage.
+/// EWMA weight of a prompt or a late start in the zone usage.
 const START_SIGNAL_EWMA_WEIGHT: f64 = 0.2;
 
 impl Balancer {
--- a/crates/decisions/src/rules/attempts.rs
+++ b/crates/decisions/src/rules/attempts.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent, again or to another endpoint, or may be shed, after which a retry
-//! by the client must be harmless.
+//! Whether a request may be sent, sent again or shed. It may be shed only if a retry by the client
+//! is harmless.
 
 use super::Denial;
 use crate::api::{
@@ -32,7 +32,7 @@
     pub execution: Execution,
 }
 
-/// The endpoints that recognise a repeat of an attempt as one.
+/// The endpoints that recognise a further attempt of a request as a repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeduplicationGroup {
     scope: DeduplicationScope,
@@ -109,8 +109,8 @@
             send: Err(Denial::MayHaveRun),
         },
         (Some(first), Idempotency::Keyed { scope, window }) => {
-            // Setting up a connection may delay a repeat by up to the connect timeout, and it has
-            // to arrive within the window.
+            // A repeat has to arrive within the window, and setting up its connection may take up
+            // to the connect timeout.
             let in_window = now + settings.connect_timeout < first.sent_at + window;
             let send = if in_window {
                 another_attempt.map(|_| Some(DeduplicationGroup { scope, first }))
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -31,10 +31,10 @@
 /// How long the list of a source remains valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// Time after the last message of a watch that is open, or that is silent and not yet
-    /// abandoned.
+    /// How long after each message of a watch, until the watch has ended. A silent watch has not
+    /// ended until it is abandoned.
     watched: Duration,
-    /// The limit once the watch has ended.
+    /// The same once the watch has ended.
     unwatched: UnwatchedTerm,
 }
 
@@ -43,8 +43,8 @@
 enum UnwatchedTerm {
     /// This long after the last message.
     AfterLastMessage(Duration),
-    /// This long after the end of the watch. An agent beside the dispatcher counts as notifying it
-    /// at once, whether or not the dispatcher is watching.
+    /// This long after the end of the watch. Where a local agent pushes the list, a dispatcher
+    /// counts as notified of a change at once, whether or not it is watching.
     AfterWatchEnd(Duration),
 }
 
@@ -76,12 +76,12 @@
 
 /// The lease on the list of one source.
 ///
-/// A list is used only while it is confirmed. The list in a configuration is not confirmed, unless
-/// there is no discovery service that could confirm it: its age is not known, and a new process
-/// counts as notified of every change from its start.
+/// A list is used only while it is confirmed. The list in a configuration is not confirmed, because
+/// its age is not known and a new process counts as notified of every change from its start. Only
+/// where there is no discovery service that could confirm it does it count as confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
-    /// `None`: the source is present while it lists anything, and its list does not expire.
+    /// `None`: once the source has confirmed its list, the list does not expire.
     terms: Option<LeaseTerms>,
     state: LeaseState,
 }
@@ -99,8 +99,8 @@
 }
 
 impl Lease {
-    /// Sets the terms under which the list expires from now on. What the source sent before remains
-    /// valid no longer than after a move of discovery.
+    /// Sets the terms under which the list expires from now on. A list that is valid now remains so
+    /// for at most the time that applies after a move of discovery.
     pub fn set_terms(&mut self, now: Timestamp, terms: LeaseTerms) {
         self.terms = Some(terms);
         if let LeaseState::Confirmed { expires_at, .. } = &mut self.state {
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -1,7 +1,7 @@
 //! What the rules of the service permit at present.
 //!
-//! All code that sends, repeats or sheds a request calls these functions: the decisions before they
-//! select an endpoint, and the core again at run time, before it carries out a decision. The
+//! All code that sends, repeats or sheds a request calls these functions: the balancer before it
+//! selects an endpoint, and the core again before it carries out an action of the balancer. The
 //! functions are pure: they take the time and the facts as arguments. The only state is a
 //! [`Lease`].
 //!
@@ -28,8 +28,8 @@
     /// The settings allow no further attempt, or none beside those in flight.
     #[error("no further attempt is allowed")]
     NoFurtherAttempt,
-    /// An earlier attempt may have run, and the class allows no repeat: at all, at this endpoint,
-    /// or any more.
+    /// An earlier attempt may have run, and the class allows no repeat, none at this endpoint, or
+    /// none this late.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
     /// The endpoint is not known.
--- a/crates/decisions/src/settings/convert.rs
+++ b/crates/decisions/src/settings/convert.rs
@@ -32,8 +32,8 @@
 }
 
 impl DeploymentSettings {
-    /// The connect timeout for endpoints. Hosts that open connections and the decisions on whether
-    /// an attempt can still arrive in time have to use the same value.
+    /// The connect timeout for endpoints. Hosts that open connections have to use this value,
+    /// because the balancer assumes it when it decides whether an attempt can still arrive in time.
     pub fn connect_timeout(&self) -> Duration {
         let or_default = |micros| {
             if micros == 0 {
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! The settings document of a deployment: the first message of the simulator, and part of a
 //! dispatcher's configuration.
 //!
-//! The deployment defines the keys of the document, so many fields are read under another name than
-//! their own. [`DeploymentSettings::to_settings`] converts the document to
+//! The keys of the document are defined by the deployment; many of them differ from the names of
+//! the fields. [`DeploymentSettings::to_settings`] converts the document to
 //! [`Settings`](crate::api::Settings) and validates it.
 
 mod convert;
@@ -56,7 +56,7 @@
     /// The tenants.
     #[serde(default)]
     pub tenants: Vec<TenantSettings>,
-    /// Priority weight of a request over its tenant's quota, as a share of its class's weight.
+    /// Priority weight of a request beyond its tenant's quota, as a share of its class's weight.
     #[serde(default = "all", rename = "over-share-worth")]
     pub over_quota_weight: f64,
     /// The meaning of the weight that the list gives an endpoint.
@@ -268,8 +268,8 @@
     /// microseconds.
     #[serde(default, rename = "ask-within-us")]
     pub max_poll_interval_us: u64,
-    /// How long after a notification that an endpoint is draining or gone the dispatcher may still
-    /// send something new to it, in microseconds.
+    /// How long the dispatcher may still send new requests and health checks to an endpoint after
+    /// it was notified that the endpoint is draining or gone, in microseconds.
     #[serde(default)]
     pub drain_grace_us: u64,
     /// Share of its capacity that a restarted endpoint has at once.
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -63,8 +63,8 @@
     pub(crate) classes: Vec<ClassEstimate>,
     /// Estimated slots of an endpoint, for each machine kind; 0 if unknown.
     pub(crate) kind_slots: Vec<f64>,
-    /// Ratio of actual to expected running time, for each machine kind. Excludes time in the
-    /// endpoint's queue where starts are reported.
+    /// Ratio of actual to expected running time, for each machine kind. Where endpoints report
+    /// starts, the time in their queues is left out.
     pub(crate) kind_run_ratio: Vec<f64>,
     /// Mean running time of a request, in microseconds.
     pub(crate) mean_run_us: f64,
@@ -74,7 +74,8 @@
     pub(crate) request_gap_us: f64,
     /// Mean time that a successful health check takes, in microseconds.
     pub(crate) health_check_us: f64,
-    /// Number of health checks that may be sent before requests; each arriving request adds to it.
+    /// Number of health checks that may be sent on behalf of requests; each arriving request adds
+    /// to it.
     pub(crate) health_check_credit: f64,
     /// Position of the periodic health checks in the preference order of the first class.
     pub(crate) refresh_cursor: usize,
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Returns whether the name of the handle changed.
+    /// Applies one entry of the endpoint list. Returns whether the name under its id has changed.
     fn apply_entry(&mut self, now: Timestamp, entry: &EndpointEntry) -> bool {
         let index = entry.endpoint.index();
         let len = self.endpoints.len().max(index + 1);
@@ -247,7 +248,7 @@
             if endpoint.name.is_none() {
                 self.by_name.push(entry.endpoint);
             }
-            // The handle remains in `monitored` until the next tick removes it.
+            // The id remains in `monitored` until the next tick removes it.
             let mut renamed = Endpoint::new(now);
             renamed.name = Some(entry.name.to_owned());
             renamed.is_monitored = endpoint.is_monitored;
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// The entry of a ready endpoint that started long ago. Names sort in the order of the handles.
+/// The entry of a ready endpoint that started long ago. Names sort in the order of the ids.
 pub fn entry(endpoint: u32, zone: usize) -> EndpointEntry<'static> {
     const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
     EndpointEntry {
@@ -101,9 +101,9 @@
     /// The current time on the host's clock.
     pub now: Timestamp,
     next_request: u64,
-    /// The class of each request, indexed by its number.
+    /// The class of each request, indexed by its id.
     classes: Vec<usize>,
-    /// The work hint of each request, indexed by its number.
+    /// The work hint of each request, indexed by its id.
     work_hints: Vec<Option<Duration>>,
     /// Free slots and memory that health checks report in [`TestHost::submit`].
     pub reported_free: f64,
--- a/crates/decisions/tests/endpoint_list.rs
+++ b/crates/decisions/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: draining and removed endpoints, subscriptions and reused handles.
+//! The endpoint list: draining and removed endpoints, subscriptions and reused ids.
 
 mod common;
 use common::*;
@@ -65,10 +65,10 @@
     assert_eq!(subscriptions(&host.advance(20_000 * MS, &[0])), 0);
 }
 
-/// The host may give the handle of a removed endpoint to another one. Ejection, rejections, load,
-/// slow start and the place in name order of the former must not apply to the latter.
+/// The host may give the id of a removed endpoint to another one. Ejection, rejections, load, slow
+/// start and the place in name order of the former must not apply to the latter.
 #[test]
-fn reused_endpoint_handle_inherits_nothing_from_its_previous_endpoint() {
+fn reused_endpoint_id_inherits_nothing_from_its_previous_endpoint() {
     let renamed = |endpoint, name| EndpointEntry {
         name,
         ..entry(endpoint, 0)
--- a/crates/decisions/tests/retry_rules.rs
+++ b/crates/decisions/tests/retry_rules.rs
@@ -56,7 +56,7 @@
     first: u32,
 }
 
-/// A request with number 0, class 0 and one slot.
+/// A request with id 0, class 0 and one slot.
 fn incoming_request() -> IncomingRequest {
     IncomingRequest {
         request: RequestId(0),
