--- a/crates/core/src/idempotency_cache.rs
+++ b/crates/core/src/idempotency_cache.rs
@@ -8,26 +8,26 @@
 
 /// Limits of the idempotency cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Retention {
+pub struct IdempotencyCacheLimits {
     /// How long a response is cached. Default: 10 minutes.
-    pub time: Duration,
+    pub retention: Duration,
     /// Maximum number of unique ids, of running requests and cached responses together. Default:
     /// 10,000.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Maximum number of concurrent requests with a unique id. Without a limit, requests whose
     /// clients have disconnected would accumulate, as they go on. Default: 256.
-    pub running: usize,
+    pub max_running: usize,
     /// Maximum total size of the cached results in bytes. Default: 16 MiB.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
-impl Default for Retention {
-    fn default() -> Retention {
-        Retention {
-            time: Duration::from_secs(600),
-            entries: 10_000,
-            running: 256,
-            bytes: 16 << 20,
+impl Default for IdempotencyCacheLimits {
+    fn default() -> IdempotencyCacheLimits {
+        IdempotencyCacheLimits {
+            retention: Duration::from_secs(600),
+            max_entries: 10_000,
+            max_running: 256,
+            max_bytes: 16 << 20,
         }
     }
 }
@@ -48,7 +48,7 @@
 /// Entries by unique id. None is evicted before it expires: while the cache is full, requests with
 /// new unique ids are shed.
 pub(crate) struct IdempotencyCache {
-    limits: Retention,
+    limits: IdempotencyCacheLimits,
     entries: HashMap<UniqueId, Entry>,
     /// The unique ids of cached responses by expiry time; the insert count makes the keys unique.
     expiries: BTreeMap<(Timestamp, u64), UniqueId>,
@@ -63,7 +63,7 @@
 }
 
 impl IdempotencyCache {
-    pub(crate) fn new(limits: Retention) -> IdempotencyCache {
+    pub(crate) fn new(limits: IdempotencyCacheLimits) -> IdempotencyCache {
         IdempotencyCache {
             limits,
             entries: HashMap::new(),
@@ -86,7 +86,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.entries.len() >= self.limits.entries || self.running >= self.limits.running
+        self.entries.len() >= self.limits.max_entries || self.running >= self.limits.max_running
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -109,7 +109,7 @@
                 return;
             }
             ClientResponse::Served(result)
-                if self.cached_bytes + result.len() > self.limits.bytes =>
+                if self.cached_bytes + result.len() > self.limits.max_bytes =>
             {
                 ClientResponse::Failed(Failure::ResultNotCached)
             }
@@ -121,7 +121,7 @@
         };
         self.insert_count += 1;
         self.expiries
-            .insert((now + self.limits.time, self.insert_count), id.clone());
+            .insert((now + self.limits.retention, self.insert_count), id.clone());
         self.entries.insert(id, Entry::Cached(cached));
     }
 
--- a/crates/core/src/idempotency_cache/tests.rs
+++ b/crates/core/src/idempotency_cache/tests.rs
@@ -1,12 +1,11 @@
 use super::*;
 
-fn cache(entries: usize, bytes: usize) -> IdempotencyCache {
-    let time = Duration::from_micros(100);
-    IdempotencyCache::new(Retention {
-        time,
-        entries,
-        running: 2,
-        bytes,
+fn cache(max_entries: usize, max_bytes: usize) -> IdempotencyCache {
+    IdempotencyCache::new(IdempotencyCacheLimits {
+        retention: Duration::from_micros(100),
+        max_entries,
+        max_running: 2,
+        max_bytes,
     })
 }
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -37,27 +37,27 @@
 impl TestCore {
     /// A core for which the discovery service has listed these endpoints.
     pub fn new(settings: Settings, endpoints: &[Endpoint]) -> TestCore {
-        TestCore::with_retention(settings, endpoints, Retention::default())
+        TestCore::with_cache_limits(settings, endpoints, IdempotencyCacheLimits::default())
     }
 
-    pub fn with_retention(
+    pub fn with_cache_limits(
         settings: Settings,
         endpoints: &[Endpoint],
-        retention: Retention,
+        cache_limits: IdempotencyCacheLimits,
     ) -> TestCore {
-        let mut core = TestCore::without_list(settings, retention);
+        let mut core = TestCore::without_list(settings, cache_limits);
         core.list(endpoints);
         core
     }
 
     /// A core that has received no endpoint list.
-    pub fn without_list(settings: Settings, retention: Retention) -> TestCore {
+    pub fn without_list(settings: Settings, cache_limits: IdempotencyCacheLimits) -> TestCore {
         let deadlines = settings
             .classes
             .iter()
             .map(|class| class.deadline)
             .collect();
-        let core = Core::new(settings, 7, retention).unwrap();
+        let core = Core::new(settings, 7, cache_limits).unwrap();
         TestCore {
             core,
             now: START,
--- a/crates/core/tests/repeats.rs
+++ b/crates/core/tests/repeats.rs
@@ -224,14 +224,14 @@
 #[test]
 fn with_a_full_idempotency_cache_new_unique_ids_are_shed_until_a_response_expires() {
     for settings in deployments() {
-        let retention = Retention {
-            time: 1_000 * MS,
-            entries: 2,
-            running: 2,
-            bytes: 100,
+        let cache_limits = IdempotencyCacheLimits {
+            retention: 1_000 * MS,
+            max_entries: 2,
+            max_running: 2,
+            max_bytes: 100,
         };
         let endpoints = ["a", "b", "c"].map(endpoint);
-        let mut core = TestCore::with_retention(settings.clone(), &endpoints, retention);
+        let mut core = TestCore::with_cache_limits(settings.clone(), &endpoints, cache_limits);
         let submit = |core: &mut TestCore, handle, unique_id: &str| {
             core.submit_request(handle, request_with_unique_id(handle, unique_id))
         };
--- a/crates/net/src/config/gearman.rs
+++ b/crates/net/src/config/gearman.rs
@@ -1,6 +1,6 @@
 //! The configuration file of the Gearman frontend.
 
-use super::{ConfigError, Retention, parse_address, read_toml};
+use super::{ConfigError, IdempotencyCacheLimits, parse_address, read_toml};
 use pumiceway_decisions::api::ClassId;
 use pumiceway_decisions::settings::{ClassSettings, DeploymentSettings};
 use serde::Deserialize;
@@ -31,7 +31,7 @@
     /// Worker sessions have their full capacity from the start, without slow start.
     pub skips_slow_start: bool,
     /// What is retained for clients that submit a job again.
-    pub retention: Retention,
+    pub retention: IdempotencyCacheLimits,
     /// The functions that clients can call, by name.
     pub functions: BTreeMap<String, Function>,
 }
@@ -169,12 +169,12 @@
         check_range("kept_mb", self.kept_mb, MAX_KEPT_MB)
     }
 
-    fn retention(&self) -> Retention {
-        Retention {
-            time: Duration::from_secs(self.retention_s),
-            entries: self.kept_answers,
-            running: self.jobs,
-            bytes: self.kept_mb << 20,
+    fn retention(&self) -> IdempotencyCacheLimits {
+        IdempotencyCacheLimits {
+            retention: Duration::from_secs(self.retention_s),
+            max_entries: self.kept_answers,
+            max_running: self.jobs,
+            max_bytes: self.kept_mb << 20,
         }
     }
 }
--- a/crates/net/src/config/mod.rs
+++ b/crates/net/src/config/mod.rs
@@ -15,7 +15,7 @@
 pub use address::parse_address;
 pub use error::ConfigError;
 pub use gearman::{Function, GearmanConfig};
-pub use pumiceway_core::Retention;
+pub use pumiceway_core::IdempotencyCacheLimits;
 pub use reload::{Reload, StartupValues};
 pub use sockets::SocketBudget;
 pub use toml_file::{TomlError, parse_toml, read_toml};
--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -8,7 +8,7 @@
 use crate::frontend::gearman::GearmanFrontend;
 use crate::frontend::gearman::workers::{MAX_CLASSES, SessionKinds, WorkerSessions};
 use crate::frontend::http::HttpFrontend;
-use pumiceway_core::{Core, EndpointSource, Event, Retention};
+use pumiceway_core::{Core, EndpointSource, Event, IdempotencyCacheLimits};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
@@ -86,7 +86,7 @@
         let (events, messages) = EventSender::new();
         let (close_frontends, closing) = watch::channel(false);
         let mut frontends = JoinSet::new();
-        let mut retention = Retention::default();
+        let mut retention = IdempotencyCacheLimits::default();
         let mut workers = None;
         if let Some(GearmanListener {
             config: gearman,
--- a/crates/site/src/convert/gearman.rs
+++ b/crates/site/src/convert/gearman.rs
@@ -4,7 +4,7 @@
 use crate::schema::{self, Keep, Limits};
 use pumiceway_decisions::api::ClassId;
 use pumiceway_decisions::settings::DeploymentSettings;
-use pumiceway_net::config::{Function, GearmanConfig, Retention};
+use pumiceway_net::config::{Function, GearmanConfig, IdempotencyCacheLimits};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -67,7 +67,7 @@
     connections: usize,
     jobs: usize,
     max_queued: usize,
-    retention: Retention,
+    retention: IdempotencyCacheLimits,
 }
 
 /// Checks the limits. They are checked even if the frontend is off.
@@ -87,11 +87,11 @@
         connections,
         jobs,
         max_queued: *limits.waiting.get_ref(),
-        retention: Retention {
-            time: keep.time.0,
-            entries,
-            running: jobs,
-            bytes: usize::try_from(keep.bytes.0).unwrap_or(usize::MAX),
+        retention: IdempotencyCacheLimits {
+            retention: keep.time.0,
+            max_entries: entries,
+            max_running: jobs,
+            max_bytes: usize::try_from(keep.bytes.0).unwrap_or(usize::MAX),
         },
     })
 }
--- a/crates/site/tests/old_site_file.rs
+++ b/crates/site/tests/old_site_file.rs
@@ -4,7 +4,9 @@
 use pumiceway_decisions::api::{
     Class, ClassId, Idempotency, LoadReportSource, Prices, Settings, ZoneId,
 };
-use pumiceway_net::config::{Config, Function, GearmanConfig, Retention, SocketBudget};
+use pumiceway_net::config::{
+    Config, Function, GearmanConfig, IdempotencyCacheLimits, SocketBudget,
+};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
@@ -84,11 +86,11 @@
         jobs: 256,
         queue: 256,
         skips_slow_start: true,
-        retention: Retention {
-            time: Duration::from_secs(600),
-            entries: 10_000,
-            running: 256,
-            bytes: 16 << 20,
+        retention: IdempotencyCacheLimits {
+            retention: Duration::from_secs(600),
+            max_entries: 10_000,
+            max_running: 256,
+            max_bytes: 16 << 20,
         },
         functions: BTreeMap::from([
             ("booking-import".to_owned(), function(0, 20)),
--- a/crates/test-support/src/fleet/instances.rs
+++ b/crates/test-support/src/fleet/instances.rs
@@ -6,7 +6,7 @@
 use super::plan::InjectedFault;
 use super::settings::settings;
 use super::simulation::Simulation;
-use pumiceway_core::{Core, EndpointListUpdate, Event, Retention};
+use pumiceway_core::{Core, EndpointListUpdate, Event, IdempotencyCacheLimits};
 use pumiceway_decisions::api::{EndpointState, Timestamp};
 use pumiceway_net::discovery::call_schedule::CallSchedule;
 use std::collections::HashMap;
@@ -111,7 +111,7 @@
         let core = Core::new(
             settings,
             self.plan.seed ^ instance as u64,
-            Retention::default(),
+            IdempotencyCacheLimits::default(),
         )
         .expect("the settings of a plan are valid");
         self.instances[instance].start(core, call_schedule, self.now);
