--- a/crates/core/src/consumed_ids.rs
+++ b/crates/core/src/consumed_ids.rs
@@ -1,7 +1,7 @@
 //! Consumed ids: the request ids of done requests that may have run and must not run again.
 //!
-//! Without them, a request could run twice if the connection of its client broke and the client
-//! sends the request again after the first one was removed.
+//! Without them, a request could run twice: a client whose connection broke may send its request
+//! again after the first one has ended and was removed.
 
 use pumiceway_decisions::api::Timestamp;
 use std::collections::{BTreeSet, HashSet};
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -61,7 +61,7 @@
     CheckHealth {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The health check, to be returned in its event.
+        /// Id of the health check, to be returned in its event.
         check: HealthCheckId,
         /// Address of the endpoint.
         address: EndpointAddress,
@@ -71,7 +71,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Watch the discovery service at this address, and stop watching the previous one once this
+    /// Watch the discovery service at this address. A watch of a previous address ends once the new
     /// one has sent its list.
     WatchDiscovery {
         /// Address of the discovery service.
--- a/crates/core/src/endpoints/list.rs
+++ b/crates/core/src/endpoints/list.rs
@@ -48,7 +48,8 @@
     pub cell: Option<u64>,
     /// State on the list of the source.
     pub state: EndpointState,
-    /// When the process of the endpoint last started; [`Timestamp::ORIGIN`] for long ago.
+    /// When the process of the endpoint last started; [`Timestamp::ORIGIN`] if it is unknown or
+    /// long ago.
     pub started_at: Timestamp,
     /// Size relative to other endpoints, without a unit; 0 if unknown.
     pub relative_size: f64,
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -16,8 +16,9 @@
 use pumiceway_decisions::rules::{self, Denial, Lease, LeaseSignal, LeaseTerms};
 use std::collections::{HashMap, HashSet};
 
-/// How many gone endpoints keep their ids: far more than leave while a list may be outdated.
-/// Without a bound, memory would grow whenever an endpoint starts under a new name.
+/// Maximum number of gone endpoints that keep their ids. It is far above the number of endpoints
+/// that leave while a list may be outdated. Without a bound, memory would grow whenever an endpoint
+/// starts under a new name.
 const MAX_GONE_ENDPOINTS: usize = 1_024;
 
 /// The endpoints of all sources.
@@ -212,9 +213,9 @@
         applied
     }
 
-    /// Keeps an endpoint of an outdated list draining or gone if an up-to-date list has shown it
-    /// so. The endpoint becomes ready again if it has restarted since, or with an up-to-date list
-    /// or delta.
+    /// If an up-to-date list has shown an endpoint as draining or gone, it stays so although an
+    /// outdated list shows it as ready. It becomes ready again if it has restarted since, or with
+    /// an up-to-date list or delta.
     fn preserve_withdrawal(&self, endpoint: &mut Endpoint) {
         let Some(id) = self
             .ids
@@ -259,7 +260,7 @@
         for endpoint in endpoints {
             let is_ready = endpoint.state == EndpointState::Ready;
             let id = match self.ids.get(&endpoint.name).copied() {
-                // Another source lists an endpoint under the same name; that one stays.
+                // Another source already lists an endpoint under the same name, which stays.
                 Some(id) if self.records[id.index()].source != source => continue,
                 Some(id) => {
                     self.records[id.index()].endpoint = endpoint;
--- a/crates/core/src/idempotency_cache.rs
+++ b/crates/core/src/idempotency_cache.rs
@@ -1,5 +1,5 @@
 //! The idempotency cache: running requests and cached responses by unique id, for clients that send
-//! a request again under the same one.
+//! a request again under the same unique id.
 
 use crate::{ClientResponse, Failure, UniqueId};
 use pumiceway_decisions::api::{RequestId, Timestamp};
@@ -14,8 +14,8 @@
     /// Maximum number of unique ids, of running requests and cached responses together. Default:
     /// 10,000.
     pub max_entries: usize,
-    /// Maximum number of concurrent requests with a unique id. Without a limit, requests whose
-    /// clients have disconnected would accumulate, as they go on. Default: 256.
+    /// Maximum number of concurrent requests with a unique id. Such a request continues when its
+    /// client disconnects, so without a limit they would accumulate. Default: 256.
     pub max_running: usize,
     /// Maximum total size of the cached results in bytes. Default: 16 MiB.
     pub max_bytes: usize,
--- a/crates/core/src/reducer/attempts.rs
+++ b/crates/core/src/reducer/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts in flight. Each has exactly one outcome: the attempt is removed with it, so later
-//! updates and outcomes for the same attempt are ignored.
+//! Attempts in flight. Each has exactly one outcome, with which it is removed; later updates and
+//! outcomes of the same attempt are ignored.
 
 use super::requests::OpenRequest;
 use super::timers::Timer;
--- a/crates/core/src/reducer/endpoint_list.rs
+++ b/crates/core/src/reducer/endpoint_list.rs
@@ -81,7 +81,8 @@
         source: EndpointSource,
         update: EndpointListUpdate,
     ) -> AppliedUpdate {
-        // The balancer keeps the attempts of a request for as long as the core keeps the request.
+        // All attempts of an open request count, including those that have ended: the balancer
+        // keeps them for as long as the core keeps the request.
         let in_use = || {
             let attempts = self.requests.values().flat_map(|request| &request.attempts);
             let checked = self.health_checks.values().map(|check| check.endpoint);
--- a/crates/core/src/reducer/mod.rs
+++ b/crates/core/src/reducer/mod.rs
@@ -36,7 +36,7 @@
 use timers::Timers;
 
 /// Back-off for requests that the core sheds without asking the balancer; capped at
-/// [`Settings::max_retry_after`], the longest back-off that clients honor.
+/// [`Settings::max_retry_after`], the longest back-off that clients honour.
 const CORE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The state machine of a dispatcher: takes [`Event`]s and returns [`Effect`]s.
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -107,8 +107,8 @@
     }
 
     /// The remaining time, limited to the deadline of the class. The balancer derives the age of a
-    /// request from the longest remaining time it has seen: a longer one would make all later
-    /// requests look as if they had been sent long ago.
+    /// request from the longest remaining time it has seen. One that exceeds the deadline would
+    /// make all later requests look as if they had been sent long ago.
     fn limited_remaining(&self, request: &ClientRequest) -> Duration {
         let class = self.settings.classes.get(request.class.0);
         class.map_or(request.remaining, |class| {
@@ -134,8 +134,8 @@
         self.notify_balancer(api::Event::RequestArrived(IncomingRequest {
             request: id,
             class: request.class,
-            // Not shortened by a shutdown: the balancer would take a shorter time for that of a
-            // request that was sent again.
+            // Not shortened by a shutdown: the balancer would take a request with less remaining
+            // time for one that its client has sent again.
             remaining: remaining.saturating_sub(ATTEMPT_MARGIN),
             slots: request.slots,
             memory: request.memory,
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Finishes the request once its last client has disconnected, unless it has a unique id: then
-    /// it goes on, as a client may still ask for the response by that id.
+    /// Finishes the request once its last client has disconnected, unless it has a unique id. With
+    /// one it continues, as a client may still ask for the response by that id.
     pub(super) fn on_client_disconnected(&mut self, now: Timestamp, handle: RequestHandle) {
         let Some(id) = self.waiting.remove(&handle) else {
             return;
@@ -289,8 +289,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes a request that is done and has no attempt in flight. If it were removed earlier, its
-    /// id could be in flight twice where attempts cannot be cancelled.
+    /// Removes a request that is done and has no attempt in flight. Where attempts cannot be
+    /// cancelled, a request removed earlier could be in flight twice under the same id.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished =
             |request: &OpenRequest| request.is_done && !request.has_attempt_in_flight();
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -57,7 +57,8 @@
     pub remaining: Duration,
     /// Number of slots that the request occupies at an endpoint.
     pub slots: f64,
-    /// Memory that the request occupies at an endpoint, in slots' worth.
+    /// Memory that the request occupies at an endpoint, in slots' worth: one unit is the memory of
+    /// an endpoint divided by the number of its slots.
     pub memory: f64,
     /// Tenant, if any.
     pub tenant: Option<TenantId>,
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -36,7 +36,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
     /// The request was not served by its deadline, or an attempt may have run and the rules permit
-    /// no further one. The two differ only in the time that the request took.
+    /// no further one. Both have the same message, as they differ only in the time that the request
+    /// took.
     #[error("not done in time")]
     NotServed,
     /// An earlier request with the same id is done and may have run.
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -204,7 +204,7 @@
     assert!(!dispatcher.sends());
     dispatcher.update_list(EndpointListUpdate::Delta(vec![]));
     assert!(dispatcher.sends());
-    // A silent watch does not count as ended until it is given up.
+    // A silent watch does not count as ended until it is abandoned.
     dispatcher.advance(3 * SECOND);
     assert!(dispatcher.sends());
     dispatcher.update_list(EndpointListUpdate::Lost(LeaseSignal::WatchEnded));
