--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 run: build
 	target/release/pumiceway serve
 
-# Both fronts.
+# Both frontends: HTTP and Gearman.
 run-gearman: build
 	target/release/pumiceway serve --gearman deploy/gearman.toml
 
