--- a/crates/decisions/src/api/endpoint.rs
+++ b/crates/decisions/src/api/endpoint.rs
@@ -51,6 +51,7 @@
     Snapshot,
     /// The whole list as it was before a restart; may be out of date.
     Bootstrap,
-    /// No entries: a poll failed or the subscription broke. The previous list remains in use.
+    /// No entries: a poll failed, or no subscription is open any more. The previous list remains in
+    /// use.
     SourceLost,
 }
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -49,7 +49,8 @@
     pub load_reports: LoadReportSource,
     /// The dispatcher has to poll the endpoint list; otherwise changes are pushed to it.
     pub polls_discovery: bool,
-    /// A dispatcher that has not polled for this long counts as notified of every change.
+    /// A dispatcher that has not polled for this long counts as notified of every change; zero for
+    /// no limit.
     pub max_poll_interval: Duration,
     /// How long the dispatcher may still send new requests and health checks to an endpoint after
     /// it was notified that the endpoint is draining or gone.
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -1,9 +1,11 @@
 //! Which requests this dispatcher queues, in which order, and which it sheds.
 //!
 //! A request that no endpoint would start now is queued, ordered by priority weight per slot-time,
-//! the highest first. It is shed at the latest start that probably still meets its objective or,
-//! where its class has a `max_queue_time`, when that time has passed. Where the length of the queue
-//! is limited, the least valuable request is shed when the limit is exceeded.
+//! the highest first. It leaves the queue unserved when it could no longer start in time to meet
+//! its objective or, where its class has a `max_queue_time`, when that time has passed or when too
+//! little time is left for it to run before its deadline. Where the length of the queue is limited,
+//! the least valuable request leaves it when the limit is exceeded. A request that leaves the queue
+//! unserved is shed, or fails if a retry by its client would not be harmless.
 
 use super::Balancer;
 use super::selection::{EndpointQueueing, Selection};
@@ -11,12 +13,13 @@
 use crate::state::Request;
 use crate::time::{divide, from_micros_f64, micros_f64};
 
-/// Ticks between the latest start of a request and its deadline.
+/// The latest start of a request is at least this many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 2;
-/// The part of the objective stretch above this is slack.
+/// Only the part of the objective stretch above this counts as slack, which may be spent in the
+/// queue.
 const STRETCH_WITHOUT_SLACK: f64 = 1.2;
-/// The share of the slack that may be spent in the queue. More would raise the learnt running time,
-/// and with it this allowance.
+/// The share of the slack that may be spent in the queue. A larger share would reinforce itself:
+/// it would raise the learnt running time, from which the slack is computed.
 const SLACK_SHARE: f64 = 0.5;
 
 /// A request that no endpoint would start. A later request of its class that takes as much would
@@ -111,7 +114,11 @@
         queue
     }
 
-    /// The latest start that probably still meets the objective.
+    /// When a queued request is given up if it has not been sent.
+    ///
+    /// Without a `max_queue_time`, this is the latest start that probably still meets the
+    /// objective. With one, it is the end of that time, or the latest start that leaves the
+    /// expected running time before the deadline if that is earlier.
     pub(super) fn latest_start(&self, request: &Request) -> Timestamp {
         let class = &self.settings.classes[request.class.0];
         let expected_run_us = self.expected_run_us(request);
--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -1,10 +1,10 @@
 //! How loaded an endpoint is estimated to be, and when it would start a request.
 //!
-//! Capacity is counted in slots, and in memory where a request takes some: an endpoint has as much
-//! memory as it has slots. What this dispatcher's own attempts take is known. What other
-//! dispatchers take is estimated from load reports, and the estimate decays to the mean of the
-//! zone. Without the decay, an endpoint that sends no more reports would look forever as empty, or
-//! as full, as at its last one.
+//! Capacity is counted in slots and, for requests that take memory, also in memory. The unit of
+//! memory is a slot's worth, so an endpoint has as many units of memory as slots. What this
+//! dispatcher's own attempts take is known. What other dispatchers take is estimated from load
+//! reports, and the estimate decays to the mean of the zone. Without the decay, an endpoint that
+//! sends no more reports would look forever as empty, or as full, as at its last one.
 
 use super::Balancer;
 use crate::api::Timestamp;
@@ -15,7 +15,8 @@
 /// Time constant with which the estimated usage of an endpoint by other dispatchers decays to the
 /// mean of its zone.
 pub(super) const LOAD_ESTIMATE_TIME_CONSTANT_US: f64 = 2_000_000.0;
-/// A request may lack this much of a slot: the estimate is a mean, but slots are whole.
+/// An endpoint counts as having capacity if it lacks at most this much of a slot: the estimate is a
+/// mean with a fraction, but the slots in use are whole.
 const SLOT_TOLERANCE: f64 = 0.5;
 /// An endpoint estimated from the mean of its zone alone counts as full at this mean usage: the
 /// mean does not show which endpoints have capacity.
@@ -125,10 +126,10 @@
     /// Whether an endpoint would start the request from its queue while that still meets the
     /// objective.
     ///
-    /// True only where no endpoint of the kind has reported its slots, or for a request of several
-    /// slots that lacks less than one while this dispatcher has no request queued: that many slots
-    /// are seldom free at once unless the request waits for them at the head of the endpoint's
-    /// queue.
+    /// True only in two cases: no endpoint of the kind has reported its slots, or the request takes
+    /// several slots, of which less than one is missing, and this dispatcher has no request queued.
+    /// In the second case, that many slots are seldom free at once unless the request waits for
+    /// them at the head of the endpoint's queue.
     pub(super) fn would_start_soon(
         &self,
         now: Timestamp,
--- a/crates/decisions/src/policy/eligibility.rs
+++ b/crates/decisions/src/policy/eligibility.rs
@@ -35,8 +35,8 @@
     ) -> bool {
         let endpoint = self.state.endpoint(id);
         endpoint.state == EndpointState::Ready
-            && endpoint.ejected_until.is_none()
-            && now >= endpoint.rejects_until
+            && endpoint.excluded_until.is_none()
+            && now >= endpoint.backoff_until
             && permission
                 .check_endpoint(endpoint.zone, endpoint.cell)
                 .is_ok()
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -86,7 +86,8 @@
                     self.on_load_report(now, id, report);
                 }
             }
-            // The endpoint is alive; it only rejected a health check beyond its limit.
+            // The endpoint is alive; it only rejected a health check beyond its limit. This does
+            // not end its suspicion or ejection.
             Outcome::Rejected => self.state.endpoint_mut(id).last_heard_at = now,
             Outcome::NotSent => {}
             Outcome::Error
@@ -105,19 +106,19 @@
     fn on_check_passed(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
-        let was_ejected = endpoint.ejected_until.take().is_some();
-        if was_ejected && endpoint.ejections > 0 {
+        let was_excluded = endpoint.excluded_until.take().is_some();
+        if was_excluded && endpoint.ejections > 0 {
             endpoint.on_probation = true;
             endpoint.started_at = endpoint.started_at.max(endpoint.last_failure_at);
         }
     }
 
     /// Ejects an endpoint whose health check failed. A check that was sent before a stall of this
-    /// process proves nothing, unless the endpoint was suspected already.
+    /// process proves nothing, unless the endpoint was already suspected or ejected.
     fn on_check_failed(&mut self, now: Timestamp, id: EndpointId) {
         let resumed_at = self.state.resumed_at;
         let endpoint = self.state.endpoint_mut(id);
-        if endpoint.ejected_until.is_some() || endpoint.health_checked_at >= resumed_at {
+        if endpoint.excluded_until.is_some() || endpoint.health_checked_at >= resumed_at {
             endpoint.last_failure_at = now;
             self.eject(now, id);
         }
@@ -133,7 +134,7 @@
             let endpoint = self.state.endpoint_mut(id);
             let has_attempts = endpoint.own_attempts > 0;
             endpoint.is_monitored =
-                endpoint.is_ready() && (has_attempts || endpoint.ejected_until.is_some());
+                endpoint.is_ready() && (has_attempts || endpoint.excluded_until.is_some());
             let remains_monitored = endpoint.is_monitored;
             if remains_monitored && is_due && !endpoint.health_check_in_flight {
                 self.recheck(now, id, actions);
@@ -145,8 +146,8 @@
 
     fn is_check_due(&self, now: Timestamp, id: EndpointId, silence: Duration) -> bool {
         let endpoint = self.state.endpoint(id);
-        if let Some(ejected_until) = endpoint.ejected_until {
-            return now >= ejected_until;
+        if let Some(excluded_until) = endpoint.excluded_until {
+            return now >= excluded_until;
         }
         let is_silent = endpoint.last_heard_at.max(self.state.resumed_at) + silence <= now;
         let no_recent_check = endpoint.health_checked_at + divide(silence, 2) <= now;
@@ -160,7 +161,7 @@
             return self.check_health(now, id, actions);
         }
         let endpoint = self.state.endpoint_mut(id);
-        endpoint.on_probation |= endpoint.ejected_until.take().is_some();
+        endpoint.on_probation |= endpoint.excluded_until.take().is_some();
     }
 
     /// Checks endpoints in rotation, in the preference order of the first class.
@@ -181,7 +182,7 @@
             let endpoint = self.state.endpoint(id);
             let is_due = endpoint.reported_at + interval <= now
                 && endpoint.health_checked_at + interval <= now;
-            let may_check = !endpoint.health_check_in_flight && endpoint.ejected_until.is_none();
+            let may_check = !endpoint.health_check_in_flight && endpoint.excluded_until.is_none();
             if is_due && may_check && self.state.refresh_credit >= 1.0 {
                 self.state.refresh_credit -= 1.0;
                 self.check_health(now, id, actions);
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -1,10 +1,14 @@
 //! When a request gets a second attempt while its first is in flight, and which of the two is
 //! cancelled.
 //!
-//! A request is hedged when its only attempt in flight has not started promptly, is overdue, or is
-//! at an endpoint that is suspected or ejected. It would otherwise be lost with an endpoint that
-//! hangs, or wait in a queue that an old load report did not show while another endpoint is free.
-//! Once an attempt starts, the attempts that have not started are cancelled.
+//! A request is hedged when its only attempt in flight is late to start, is overdue, or is at an
+//! endpoint that is suspected or ejected. It would otherwise be lost with an endpoint that hangs,
+//! or wait in a queue that an old load report did not show while another endpoint is free. It is
+//! not hedged if the settings do not allow it, if the rules permit no further attempt, or while no
+//! eligible endpoint would start it now.
+//!
+//! Late starts count only where endpoints report starts and attempts can be cancelled. Once an
+//! attempt starts, the attempts that have not started are cancelled, if cancellation is allowed.
 
 use super::Balancer;
 use super::selection::EndpointQueueing;
@@ -50,17 +54,18 @@
         }
     }
 
-    /// Sends a second attempt of each request that needs one, if an endpoint would start it now.
+    /// Sends a second attempt of each request that needs one, if the rules permit it and an
+    /// endpoint would start it now.
     pub(super) fn hedge(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.settings.hedging {
             return;
         }
-        let can_move_unstarted = self.settings.reports_start && self.settings.cancellation;
+        let hedges_late_starts = self.settings.reports_start && self.settings.cancellation;
         let mut open_requests = self.state.requests.values();
-        self.state.awaits_start = can_move_unstarted
+        self.state.awaits_start = hedges_late_starts
             && open_requests.any(|request| request.attempts.iter().any(is_unstarted));
         let needs_hedge = |request: &Request| {
-            !request.is_done && self.needs_hedge(now, request, can_move_unstarted)
+            !request.is_done && self.needs_hedge(now, request, hedges_late_starts)
         };
         let requests = self
             .state
@@ -75,18 +80,18 @@
 
     /// Whether a request has exactly one attempt in flight, and that attempt is late to start,
     /// overdue, or at a suspected or ejected endpoint.
-    fn needs_hedge(&self, now: Timestamp, request: &Request, can_move_unstarted: bool) -> bool {
+    fn needs_hedge(&self, now: Timestamp, request: &Request, hedges_late_starts: bool) -> bool {
         let Some(attempt) = request.only_attempt_in_flight() else {
             return false;
         };
         let start_due_at = self.idle_response_due_at(attempt.sent_at);
-        let start_is_late = can_move_unstarted && !attempt.has_started && now >= start_due_at;
+        let start_is_late = hedges_late_starts && !attempt.has_started && now >= start_due_at;
         start_is_late
             || attempt.is_overdue
             || self
                 .state
                 .endpoint(attempt.endpoint)
-                .ejected_until
+                .excluded_until
                 .is_some()
     }
 }
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -121,7 +121,7 @@
     }
 
     /// Detects a stall of this process, by a timer that is more than a tick late. Responses that
-    /// arrived during the stall are still unread, so silence before it is no sign of a failure.
+    /// arrived during the stall are still unread, so silence until now is no sign of a failure.
     fn detect_stall(&mut self, now: Timestamp) {
         if self
             .state
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -42,7 +42,7 @@
         match result.outcome {
             Outcome::Success => self.learn_running_time(now, result, attempt),
             Outcome::Rejected => {
-                self.state.endpoint_mut(result.endpoint).rejects_until = now + REJECTION_BACKOFF;
+                self.state.endpoint_mut(result.endpoint).backoff_until = now + REJECTION_BACKOFF;
             }
             Outcome::ConnectFailed | Outcome::Reset => self.suspect(now, result.endpoint, actions),
             Outcome::Cancelled if !attempt.has_started => {
@@ -77,7 +77,7 @@
     }
 
     /// Records that an endpoint has responded or made progress with a request, which ends its
-    /// ejection and its probation.
+    /// suspicion, ejection and probation.
     pub(super) fn mark_alive(&mut self, now: Timestamp, id: EndpointId) {
         let endpoint = self.state.endpoint_mut(id);
         endpoint.last_heard_at = now;
@@ -85,6 +85,6 @@
         endpoint.last_used_at = now;
         endpoint.on_probation = false;
         endpoint.ejections = 0;
-        endpoint.ejected_until = None;
+        endpoint.excluded_until = None;
     }
 }
--- a/crates/decisions/src/policy/outlier.rs
+++ b/crates/decisions/src/policy/outlier.rs
@@ -5,8 +5,13 @@
 //! - An endpoint whose health check failed is ejected for a back-off, which doubles with each
 //!   ejection in a row, and is checked again after it.
 //! - A successful health check brings a suspected endpoint back as it was, and puts an ejected one
-//!   on probation: it gets one request at a time until it responds. A response, or progress of an
-//!   attempt, ends ejection and probation at once.
+//!   on probation: it gets one request at a time until it responds.
+//! - Where health checks are not allowed, an endpoint whose connection failed is ejected at once,
+//!   and is on probation after the back-off.
+//! - An endpoint that has not responded since an attempt that became overdue was sent is put on
+//!   probation as well (see the module `overdue`).
+//! - A response, or progress of an attempt, ends suspicion, ejection and probation at once. So does
+//!   a restart of the endpoint.
 //! - An endpoint that completes far fewer requests than the mean one at the same utilization is
 //!   slow. It is considered last where dispatchers outnumber endpoints.
 //! - An endpoint that returns errors far more often than the others is failing, and gets one
@@ -79,7 +84,7 @@
             .max()
             .unwrap_or_default();
         let is_silent = |endpoint: &&Endpoint| {
-            endpoint.ejected_until.is_some() && endpoint.last_failure_at > last_heard_at
+            endpoint.excluded_until.is_some() && endpoint.last_failure_at > last_heard_at
         };
         members().filter(is_silent).count() >= MIN_EJECTED_IN_LOST_ZONE
     }
@@ -90,10 +95,10 @@
         if !self.settings.health_checks {
             return self.eject(now, id);
         }
-        if self.state.endpoint(id).ejected_until.is_some() {
+        if self.state.endpoint(id).excluded_until.is_some() {
             return;
         }
-        self.state.endpoint_mut(id).ejected_until = Some(now);
+        self.state.endpoint_mut(id).excluded_until = Some(now);
         self.state.monitor(id);
         // An endpoint that is draining or gone is no longer checked.
         let endpoint = self.state.endpoint(id);
@@ -108,7 +113,7 @@
         let doublings = endpoint.ejections.min(MAX_EJECTION_DOUBLINGS);
         let backoff = (MIN_EJECTION * (1 << doublings)).min(MAX_EJECTION);
         endpoint.ejections += 1;
-        endpoint.ejected_until = Some(now + backoff);
+        endpoint.excluded_until = Some(now + backoff);
         self.state.monitor(id);
     }
 }
--- a/crates/decisions/src/policy/preference.rs
+++ b/crates/decisions/src/policy/preference.rs
@@ -228,7 +228,7 @@
         let polled = self.is_large_polled_fleet();
         candidates.retain(|candidate| {
             let endpoint = self.state.endpoint(candidate.endpoint);
-            endpoint.ejected_until.is_none() && (across_zones || !self.is_slow(endpoint))
+            endpoint.excluded_until.is_none() && (across_zones || !self.is_slow(endpoint))
         });
         self.retain_affinity_endpoints(now, request, candidates);
         let affinity = |endpoint: &Endpoint| {
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -1,8 +1,8 @@
 //! When a request is retried, and when it ends without being served.
 //!
 //! A request whose attempt failed is queued for another attempt if the rules permit one and its
-//! deadline has not passed. Otherwise it gets its final response: it is shed, with a `Retry-After`,
-//! where a retry by the client is harmless, and failed where an attempt may have run.
+//! deadline has not passed. Otherwise it gets its final response: it is shed if a retry by the
+//! client is harmless (with a `Retry-After`, if the settings enable it), and fails if not.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, Outcome, RequestId, Timestamp};
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -25,8 +25,8 @@
 const CURRENT_REPORT_INTERVAL_RUNS: f64 = 0.33;
 /// An update of an endpoint is recent for this share of a mean running time.
 const RECENT_UPDATE_RUNS: f64 = 0.25;
-/// How long a request waits for the home zone, as a share of its objective, is the price of
-/// crossing zones, but at most this.
+/// A request waits for the home zone for a share of its latency objective. The share equals the
+/// price of crossing zones, but is at most this.
 const MAX_HOME_ZONE_WAIT: f64 = 0.5;
 
 /// Whether a request may be sent to an endpoint where it would be queued.
--- a/crates/decisions/src/policy/start_signals.rs
+++ b/crates/decisions/src/policy/start_signals.rs
@@ -99,6 +99,6 @@
         let jittered = self.random_duration(backoff_us * 3 / 4..=backoff_us * 5 / 4);
         let endpoint = self.state.endpoint_mut(id);
         endpoint.queue_cancellations += 1;
-        endpoint.rejects_until = endpoint.rejects_until.max(now + jittered);
+        endpoint.backoff_until = endpoint.backoff_until.max(now + jittered);
     }
 }
--- a/crates/decisions/src/rules/attempts.rs
+++ b/crates/decisions/src/rules/attempts.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent, sent again or shed. It may be shed only if a retry by the client
-//! is harmless.
+//! Whether a request may be sent, sent again or shed. To shed a request invites its client to
+//! retry, so it is permitted only if a retry by the client is harmless.
 
 use super::Denial;
 use crate::api::{
@@ -54,7 +54,7 @@
 /// What the rules permit for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permission {
-    /// Whether it may be shed: a retry by the client is harmless.
+    /// Whether it may be shed, because a retry by its client would be harmless.
     pub may_shed: bool,
     /// Whether it may be sent (again). `Ok(None)`: to any endpoint; `Ok(Some(_))`: only to those
     /// that recognise a repeat.
--- a/crates/decisions/src/rules/membership.rs
+++ b/crates/decisions/src/rules/membership.rs
@@ -7,8 +7,9 @@
 use crate::api::{Settings, Timestamp};
 use std::time::Duration;
 
-/// A dispatcher counts as notified of a change this long after discovery had the change and could
-/// be reached, whether or not the change arrived.
+/// By the rules of the service, a dispatcher counts as notified of a change this long after
+/// discovery had the change and could be reached, whether or not the change arrived. The drain
+/// grace starts when it counts as notified.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 /// The same limit after a new configuration has moved discovery.
 const MAX_NOTIFICATION_DELAY_AFTER_MOVE: Duration = Duration::from_secs(4);
@@ -31,10 +32,10 @@
 /// How long the list of a source remains valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// How long after each message of a watch, until the watch has ended. A silent watch has not
-    /// ended until it is abandoned.
+    /// While a watch is open, the list remains valid for this long after its last message. A silent
+    /// watch counts as open until it is abandoned.
     watched: Duration,
-    /// The same once the watch has ended.
+    /// How long the list remains valid once the watch has ended.
     unwatched: UnwatchedTerm,
 }
 
@@ -88,7 +89,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LeaseState {
-    /// The source has sent nothing yet.
+    /// The source has not confirmed its list yet.
     #[default]
     Unconfirmed,
     /// The list was current at `as_of`; the lease expires at `expires_at`.
@@ -99,8 +100,9 @@
 }
 
 impl Lease {
-    /// Sets the terms under which the list expires from now on. A list that is valid now remains so
-    /// for at most the time that applies after a move of discovery.
+    /// Sets the terms under which the list expires from now on. If the list is valid now, it
+    /// expires after `MAX_NOTIFICATION_DELAY_AFTER_MOVE` at the latest: new terms are also set when
+    /// a new configuration has moved discovery.
     pub fn set_terms(&mut self, now: Timestamp, terms: LeaseTerms) {
         self.terms = Some(terms);
         if let LeaseState::Confirmed { expires_at, .. } = &mut self.state {
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -265,7 +265,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct RuleSettings {
     /// A dispatcher that has not polled for this long counts as notified of every change, in
-    /// microseconds.
+    /// microseconds; 0 for no limit.
     #[serde(default, rename = "ask-within-us")]
     pub max_poll_interval_us: u64,
     /// How long the dispatcher may still send new requests and health checks to an endpoint after
--- a/crates/decisions/src/state/endpoint.rs
+++ b/crates/decisions/src/state/endpoint.rs
@@ -61,9 +61,9 @@
     pub(crate) reported_at: Timestamp,
     pub(crate) throughput: Throughput,
 
-    /// It gets no request before this time, because it rejected one for lack of capacity or did not
-    /// start one.
-    pub(crate) rejects_until: Timestamp,
+    /// It gets no request before this time, because it rejected one for lack of capacity, or
+    /// because one was cancelled in its queue.
+    pub(crate) backoff_until: Timestamp,
     /// Exponentially weighted share of its responses that were errors.
     pub(crate) error_rate: f64,
     /// Consecutive attempts that were cancelled in its queue although it appeared to have capacity.
@@ -71,21 +71,22 @@
 
     /// When it last sent a response, progress or the result of a health check.
     pub(crate) last_heard_at: Timestamp,
-    /// When one of this dispatcher's attempts last made progress or ended there.
+    /// When one of this dispatcher's attempts last got a response or made progress there.
     pub(crate) last_response_at: Timestamp,
     /// When a connection to it was last used.
     pub(crate) last_used_at: Timestamp,
 
-    /// While this is set, the endpoint gets no request. For an ejected endpoint, the time at which
-    /// the ejection ends and the endpoint is health checked; for a suspected one (`ejections` is
-    /// 0), the time at which it was suspected. A successful health check, or progress or a response
-    /// of an attempt, clears it.
-    pub(crate) ejected_until: Option<Timestamp>,
+    /// Set while the endpoint is suspected or ejected; it then gets no request, also after this
+    /// time, from which on a health check is due. For an ejected endpoint, this is the end of its
+    /// back-off; for a suspected one (`ejections` is 0), the time at which it was suspected. A
+    /// successful health check, or progress or a response of an attempt, clears it.
+    pub(crate) excluded_until: Option<Timestamp>,
     /// Ejections since it last responded.
     pub(crate) ejections: u32,
     /// When a health check of it last failed.
     pub(crate) last_failure_at: Timestamp,
-    /// Its ejection has ended; it gets one request at a time until it responds.
+    /// It gets one request at a time until it responds, because its ejection has ended or because
+    /// an attempt there has become overdue.
     pub(crate) on_probation: bool,
     pub(crate) health_check_in_flight: bool,
     /// When its last health check was sent.
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -33,7 +33,7 @@
     /// Every endpoint ever listed, ordered by name.
     pub(crate) by_name: Vec<EndpointId>,
     /// Endpoints that are examined on each tick: those with attempts of this dispatcher in flight,
-    /// and ejected ones.
+    /// and those that are suspected or ejected.
     pub(crate) monitored: Vec<EndpointId>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// Requests waiting for an endpoint; sorted by descending value when the queue is served.
