--- a/crates/core/src/endpoints/list.rs
+++ b/crates/core/src/endpoints/list.rs
@@ -59,7 +59,7 @@
     pub max_concurrent: Option<u32>,
 }
 
-/// An update from a source, or the loss of the source.
+/// An update from a source, or the end of its watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListUpdate {
     /// The whole list.
@@ -76,7 +76,8 @@
     OutdatedDelta(Vec<Endpoint>),
     /// Nothing has changed.
     Unchanged,
-    /// The source cannot be reached; its list stays in use until its lease expires.
+    /// No watch of the source is open: it cannot be reached, its watch has ended, or its watch has
+    /// not been opened yet. Its list stays in use until its lease expires.
     Lost(LeaseSignal),
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -52,7 +52,7 @@
         /// The load report in the response, if any.
         report: Option<LoadReport>,
     },
-    /// A source has sent an endpoint list or a delta, or has been lost.
+    /// A source has sent an endpoint list or a delta, or is no longer watched.
     EndpointListUpdated {
         /// The source.
         source: EndpointSource,
@@ -70,7 +70,8 @@
         /// The update.
         update: EndpointListUpdate,
     },
-    /// From now on, the list of this source is used only while its lease is valid.
+    /// From now on, the lease on the list of this source expires unless the source renews it.
+    /// Without this event, a list that was confirmed once remains valid.
     LeaseRequired {
         /// The source.
         source: EndpointSource,
--- a/crates/core/src/reducer/requests.rs
+++ b/crates/core/src/reducer/requests.rs
@@ -195,8 +195,9 @@
         }
     }
 
-    /// Finishes the request once its last client has disconnected, unless it has a unique id. With
-    /// one it continues, as a client may still ask for the response by that id.
+    /// Finishes the request once its last client has disconnected: it is not sent again, and the
+    /// balancer cancels its attempts in flight if the settings allow it. With a unique id, it
+    /// continues up to its deadline instead, as a client may still ask for the response by that id.
     pub(super) fn on_client_disconnected(&mut self, now: Timestamp, handle: RequestHandle) {
         let Some(id) = self.waiting.remove(&handle) else {
             return;
@@ -224,6 +225,7 @@
         // Fallback, in case the balancer gave no response.
         let response = ClientResponse::Failed(Failure::NotServed);
         self.respond(now, id, &response, effects);
+        // Makes the balancer end the request, in case it gave no response.
         self.notify_balancer(api::Event::ClientDisconnected { request: id });
     }
 
@@ -289,8 +291,9 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes a request that is done and has no attempt in flight. Where attempts cannot be
-    /// cancelled, a request removed earlier could be in flight twice under the same id.
+    /// Removes a request that is done and has no attempt in flight. If it were removed while an
+    /// attempt that cannot be cancelled is still in flight, its client could send it again under
+    /// the same id, and it would be in flight twice.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished =
             |request: &OpenRequest| request.is_done && !request.has_attempt_in_flight();
--- a/crates/core/src/reducer/shutdown.rs
+++ b/crates/core/src/reducer/shutdown.rs
@@ -1,12 +1,12 @@
 //! The shutdown, from the signal to the exit.
 //!
-//! The supervisor may kill the process (SIGKILL) some time after the signal; how long depends on
-//! the longest deadline of all classes. The schedule ends before the kill. With a longest deadline
-//! of 3 s or more:
+//! The signal is SIGTERM or SIGINT. Some time after it, the supervisor may kill the process with
+//! SIGKILL; how long after depends on the longest deadline of all classes. The schedule ends before
+//! SIGKILL. If the longest deadline is 3 s or more:
 //!
 //! | time after the signal | what happens |
 //! | --- | --- |
-//! | 0 s | the dispatcher still accepts and serves requests, as clients may not know of the shutdown yet |
+//! | 0 s | the shutdown starts; requests are still accepted and served, as clients may not know of it yet |
 //! | 0.6 s | requests that arrive from now on get their response within the schedule, even if their deadline is later |
 //! | 2.0 s | the frontends close: no new connections, and idle ones are closed |
 //! | 3.4 s | all requests that arrived after 0.6 s have got their responses |
@@ -22,9 +22,10 @@
 /// Requests that arrive within this time of the signal keep their deadline, as clients may not know
 /// of the shutdown yet.
 const LATE_REQUEST_AFTER: Duration = Duration::from_millis(600);
-/// The supervisor waits at least this much longer than the longest deadline before SIGKILL ...
+/// The supervisor waits at least this much longer than the longest deadline before it sends
+/// SIGKILL; of the longest deadline, at most [`MAX_COUNTED_DEADLINE`] counts.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// ... but counts at most this much of the longest deadline.
+/// A longer deadline does not delay SIGKILL any further.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// The frontends close this long before SIGKILL. Not earlier: while another dispatcher restarts,
 /// clients may have no other dispatcher to connect to.
@@ -114,7 +115,7 @@
 }
 
 impl Core {
-    /// Starts the shutdown; repeated requests have no effect.
+    /// Starts the shutdown; does nothing if it has already started.
     pub(super) fn on_shutdown_requested(&mut self, now: Timestamp) {
         if self.shutdown.phase == Phase::Serving {
             self.shutdown.phase = Phase::Draining { since: now };
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -9,7 +9,9 @@
 pub enum ClientResponse {
     /// Served, with the result of an endpoint.
     Served(Bytes),
-    /// Shed: the request has not run, or may run again, so a retry is harmless.
+    /// Shed: the request has not run, or may run again, so a retry is harmless. The balancer decides
+    /// this, except that the core sheds requests with a new unique id while the idempotency cache is
+    /// full. Frontends send overload responses of their own at their limits of connections and jobs.
     Overloaded {
         /// How long the client should back off, if the settings allow telling it.
         retry_after: Option<Duration>,
