--- a/crates/net/src/config/gearman.rs
+++ b/crates/net/src/config/gearman.rs
@@ -30,8 +30,9 @@
     pub queue: usize,
     /// Worker sessions have their full capacity from the start, without slow start.
     pub skips_slow_start: bool,
-    /// What is retained for clients that submit a job again.
-    pub retention: IdempotencyCacheLimits,
+    /// Limits of the idempotency cache, from which clients that submit a job again under its unique
+    /// id get its response.
+    pub cache_limits: IdempotencyCacheLimits,
     /// The functions that clients can call, by name.
     pub functions: BTreeMap<String, Function>,
 }
@@ -126,7 +127,7 @@
     ) -> Result<GearmanConfig, ConfigError> {
         let raw: GearmanFile = read_toml(file)?;
         raw.check_limits(inbound)?;
-        let retention = raw.retention();
+        let cache_limits = raw.cache_limits();
         let mut functions = BTreeMap::new();
         for (name, entry) in raw.functions {
             let function = entry.function(&name, deployment)?;
@@ -138,7 +139,7 @@
             jobs: raw.jobs,
             queue: raw.queue,
             skips_slow_start: raw.skips_slow_start,
-            retention,
+            cache_limits,
             functions,
         };
         Ok(config.with_default_functions(deployment))
@@ -169,7 +170,7 @@
         check_range("kept_mb", self.kept_mb, MAX_KEPT_MB)
     }
 
-    fn retention(&self) -> IdempotencyCacheLimits {
+    fn cache_limits(&self) -> IdempotencyCacheLimits {
         IdempotencyCacheLimits {
             retention: Duration::from_secs(self.retention_s),
             max_entries: self.kept_answers,
--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -64,8 +64,8 @@
         Ok((self.listener.local_addr()?, gearman.transpose()?))
     }
 
-    /// Serves until `shutdown` completes and all requests have been answered. `reloads` delivers
-    /// the configurations that are reloaded meanwhile.
+    /// Serves until `shutdown` has completed, the frontends are closed and no client waits for a
+    /// response. `reloads` delivers the configurations that are reloaded meanwhile.
     ///
     /// # Errors
     ///
@@ -86,21 +86,22 @@
         let (events, messages) = EventSender::new();
         let (close_frontends, closing) = watch::channel(false);
         let mut frontends = JoinSet::new();
-        let mut retention = IdempotencyCacheLimits::default();
+        let mut cache_limits = IdempotencyCacheLimits::default();
         let mut workers = None;
         if let Some(GearmanListener {
             config: gearman,
             listener,
         }) = gearman
         {
-            retention = gearman.retention;
+            cache_limits = gearman.cache_limits;
             let sessions = prepare_gearman(&mut config, &gearman, &events)?;
             workers = Some(sessions.clone());
             let deployment = config.deployment.clone();
             let frontend = GearmanFrontend::new(events.clone(), deployment, gearman, sessions);
             frontends.spawn(frontend.serve(listener, closing.clone(), move || clock.now()));
         }
-        let core = Core::new(config.settings, config.seed, retention).map_err(io::Error::other)?;
+        let core =
+            Core::new(config.settings, config.seed, cache_limits).map_err(io::Error::other)?;
         let deployment = config.deployment;
         let mut event_loop = EventLoop::new(
             clock,
@@ -174,8 +175,9 @@
 }
 
 /// Adapts the configuration to the Gearman frontend and creates its worker sessions: reserves its
-/// connections in the socket budget, adds the machine kinds of worker sessions, and enables
-/// queueing for the requests of all frontends.
+/// connections in the socket budget and adds the machine kinds of worker sessions. For the requests
+/// of all frontends, limits the length of the queue, and lets classes without a maximum queue time
+/// wait in it up to their deadline.
 fn prepare_gearman(
     config: &mut Config,
     gearman: &GearmanConfig,
--- a/crates/site/src/convert/gearman.rs
+++ b/crates/site/src/convert/gearman.rs
@@ -67,7 +67,7 @@
     connections: usize,
     jobs: usize,
     max_queued: usize,
-    retention: IdempotencyCacheLimits,
+    cache_limits: IdempotencyCacheLimits,
 }
 
 /// Checks and converts the limits, also if the frontend is disabled.
@@ -91,7 +91,7 @@
         connections,
         jobs,
         max_queued: *limits.max_queued.get_ref(),
-        retention: IdempotencyCacheLimits {
+        cache_limits: IdempotencyCacheLimits {
             retention: keep.time.0,
             max_entries: entries,
             max_running: jobs,
@@ -132,7 +132,7 @@
             jobs: self.jobs,
             queue: self.max_queued,
             skips_slow_start: true,
-            retention: self.retention,
+            cache_limits: self.cache_limits,
             functions,
         }
     }
--- a/crates/site/src/convert/mod.rs
+++ b/crates/site/src/convert/mod.rs
@@ -18,7 +18,8 @@
 use std::collections::BTreeMap;
 use toml::Spanned;
 
-/// The dispatcher itself needs so many descriptors that fewer would leave none for clients.
+/// The dispatcher reserves some descriptors for itself; fewer than this would leave too few for
+/// clients.
 const MIN_SOCKETS: usize = 128;
 const MAX_SOCKETS: usize = 1 << 20;
 const MIN_MEMORY_MIB: u64 = 32;
--- a/crates/site/tests/old_site_file.rs
+++ b/crates/site/tests/old_site_file.rs
@@ -87,7 +87,7 @@
         jobs: 256,
         queue: 256,
         skips_slow_start: true,
-        retention: IdempotencyCacheLimits {
+        cache_limits: IdempotencyCacheLimits {
             retention: Duration::from_secs(600),
             max_entries: 10_000,
             max_running: 256,
--- a/crates/site/tests/site.rs
+++ b/crates/site/tests/site.rs
@@ -70,8 +70,8 @@
     assert_eq!(
         (
             gearman.connections,
-            gearman.retention.retention,
-            gearman.retention.max_bytes
+            gearman.cache_limits.retention,
+            gearman.cache_limits.max_bytes
         ),
         (32, Duration::from_secs(3_600), 1 << 20)
     );
