--- a/crates/net/src/config/reload.rs
+++ b/crates/net/src/config/reload.rs
@@ -1,15 +1,16 @@
 //! Reloads the configuration of a running dispatcher.
 //!
-//! Only the address of discovery can be changed without a restart. All other keys are compared with
-//! their values at startup, to report which changes require a restart.
+//! Only the address of discovery can be changed without a restart. The other keys of the platform's
+//! document are compared with their values at startup, to report which changes require a restart.
+//! The files of the Gearman frontend and of ZooKeeper are not read again.
 
 use super::{Config, ConfigError};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys whose changes do not require a restart: `discovery` is applied on reload, the seed may
-/// differ at each start, and the bootstrap list (`known`) may differ each time the file is written.
-const RELOADABLE_KEYS: [&str; 3] = ["discovery", "known", "seed"];
+/// Keys whose changes are not reported: `discovery` is applied on reload, the seed may differ at
+/// each start, and the bootstrap list (`known`) may differ each time the file is written.
+const UNCOMPARED_KEYS: [&str; 3] = ["discovery", "known", "seed"];
 
 /// The values of the keys that are only read at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -20,7 +21,7 @@
     /// keys.
     pub(super) fn from_text(text: &str) -> StartupValues {
         let mut values: BTreeMap<String, Value> = serde_json::from_str(text).unwrap_or_default();
-        values.retain(|key, _| !RELOADABLE_KEYS.contains(&key.as_str()));
+        values.retain(|key, _| !UNCOMPARED_KEYS.contains(&key.as_str()));
         if let Some(Value::Object(settings)) = values.remove("settings") {
             let settings = settings.into_iter();
             values.extend(settings.map(|(key, value)| (format!("settings.{key}"), value)));
--- a/crates/net/src/discovery/call_schedule.rs
+++ b/crates/net/src/discovery/call_schedule.rs
@@ -101,9 +101,9 @@
     }
 
     /// Returns the delay before the first call, counted from when a request starts to wait for the
-    /// list, if that is shorter than the rest of the delay of [`CallSchedule::first`].
+    /// list. The caller limits it to the delay of [`CallSchedule::first`].
     ///
-    /// Without it, processes that restart together would reject requests for seconds. Processes
+    /// Without it, processes that restart together would shed requests for seconds. Processes
     /// without requests keep their original delay, so the calls do not outnumber the requests.
     pub fn on_demand(&self, random: f64) -> Duration {
         self.window.min(MAX_ON_DEMAND_DELAY).mul_f64(random)
--- a/crates/net/src/discovery/watcher/mod.rs
+++ b/crates/net/src/discovery/watcher/mod.rs
@@ -44,7 +44,7 @@
     pub renumbered_after: Duration,
     address: String,
     settings: Arc<DeploymentSettings>,
-    /// Whether the service replaces one at another address.
+    /// Whether a reload has changed the address of discovery to `address`.
     after_move: bool,
     updates: mpsc::Sender<SourceUpdate>,
     versions: ListVersions,
--- a/crates/net/src/frontend/admission/discard.rs
+++ b/crates/net/src/frontend/admission/discard.rs
@@ -12,7 +12,8 @@
 /// Size of the buffer for a single read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Discards input while a request waits for its response. Ready once the client has disconnected.
+/// Discards input while a request waits for its response. Ready once the client has disconnected; a
+/// client that shuts down only its sending side counts as disconnected too.
 ///
 /// # Errors
 ///
--- a/crates/net/src/frontend/gearman/workers/mod.rs
+++ b/crates/net/src/frontend/gearman/workers/mod.rs
@@ -304,7 +304,8 @@
         let endpoint = worker.endpoint(session_id, state, &self.kinds, self.skips_slow_start);
         self.events.send(Event::EndpointListUpdated {
             source: EndpointSource::Gearman,
-            // Sessions have no lease, so the time of the update does not matter.
+            // The lease on the list of sessions never expires, so the time of the update does not
+            // matter.
             as_of: Timestamp::ORIGIN,
             update: EndpointListUpdate::Delta(vec![endpoint]),
         });
