--- a/crates/test-support/benches/decision.rs
+++ b/crates/test-support/benches/decision.rs
@@ -1,15 +1,15 @@
-//! What a decision, a list and a load report cost, by the number of endpoints, in a small fleet and
-//! in a large one. Run with `cargo bench -p pumiceway-test-support`.
+//! Measures the time of a decision, of an endpoint list and of a load report, by the number of
+//! endpoints, in a small and in a large fleet. Run with `cargo bench -p pumiceway-test-support`.
 
 use pumiceway_decisions::Balancer;
 use pumiceway_decisions::api::*;
-use pumiceway_test_support::fleet::{Day, Deployment, Plan, settings};
+use pumiceway_test_support::fleet::{Deployment, Disruption, Plan, settings};
 use std::time::{Duration, Instant};
 
 const DECISIONS: u64 = 20_000;
 const LISTS: u64 = 200;
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// Between two requests.
+/// The time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const ZONES: usize = 3;
 
@@ -20,10 +20,10 @@
     actions: Vec<Action>,
 }
 
-/// How long a request took.
+/// The processing time of a request.
 struct DecisionCost {
     total: Duration,
-    /// The part of it that load reports of health checks took.
+    /// The share of it that was spent on load reports of health checks.
     reports: Duration,
 }
 
@@ -33,7 +33,7 @@
             deployment: Deployment::Polled,
             instances,
             endpoints,
-            day: Day::Calm,
+            disruption: Disruption::None,
             seed: 1,
             injected_fault: None,
         };
@@ -79,7 +79,7 @@
         }))
     }
 
-    /// Answers all health checks of a request, and serves it where it is sent.
+    /// Completes all health checks of a request, and serves it at the endpoint that it is sent to.
     fn handle_request(&mut self, number: u64) -> DecisionCost {
         let mut cost = DecisionCost {
             total: self.handle(Event::RequestArrived(request(number))),
--- a/crates/test-support/src/fleet/attempts.rs
+++ b/crates/test-support/src/fleet/attempts.rs
@@ -1,10 +1,10 @@
-//! Attempts: connections, the way to an endpoint and back, and the rules on when a job may be sent
-//! again.
+//! Attempts: connections, the network between instances and endpoints, and the rules for sending a
+//! job again.
 
 use super::DRAIN_GRACE;
-use super::agenda::{AttemptKey, Incarnation, SimulationEvent};
 use super::endpoint::{PendingRun, StartedRun};
-use super::plan::{DAY_START, Day, FAULTS_BEGIN, InjectedFault};
+use super::event_queue::{AttemptKey, Incarnation, SimulationEvent};
+use super::plan::{DISRUPTION_DELAY, Disruption, InjectedFault, SIMULATION_START};
 use super::simulation::Simulation;
 use super::summary::SlowStartSend;
 use super::workload::Requirements;
@@ -13,11 +13,11 @@
 use pumiceway_decisions::api::{DeduplicationScope, Idempotency, Settings, Timestamp};
 use std::time::Duration;
 
-/// One way between two machines.
+/// The one-way network delay between two machines.
 pub(super) const NETWORK_DELAY: Duration = Duration::from_millis(1);
 /// How long a zone is partitioned from the others.
 const PARTITION_LENGTH: Duration = Duration::from_secs(6);
-/// One in so many attempts is reset by its endpoint on a day with impatient clients.
+/// One in this many attempts is reset by its endpoint under [`Disruption::ImpatientClients`].
 const RESETS_ONE_IN: u32 = 50;
 
 pub(super) struct AttemptInFlight {
@@ -25,14 +25,14 @@
     pub job: u64,
 }
 
-/// An attempt after which a job may have run.
+/// An attempt that may have run its job.
 pub(super) struct PossibleExecution {
     key: AttemptKey,
     zone: usize,
     started_at: Timestamp,
 }
 
-/// The attempts of a job, as the rules on resending see them.
+/// The attempts of a job, for the rules on sending it again.
 #[derive(Default)]
 pub(super) struct JobHistory {
     pub requirements: Requirements,
@@ -42,7 +42,7 @@
 }
 
 impl JobHistory {
-    /// Which rule forbids to send the job again, to an endpoint of this zone.
+    /// The rule that an attempt in this zone violates, if any.
     fn resend_violation(
         &self,
         settings: &Settings,
@@ -66,8 +66,8 @@
                 scope: DeduplicationScope::Zone,
                 ..
             } => {
-                let is_elsewhere = executions.iter().any(|execution| execution.zone != zone);
-                is_elsewhere.then_some("is sent to another zone, and may have run")
+                let ran_in_other_zone = executions.iter().any(|execution| execution.zone != zone);
+                ran_in_other_zone.then_some("is sent to another zone, and may have run")
             }
             _ => None,
         }
@@ -83,12 +83,12 @@
     }
 
     fn zone_is_partitioned(&self) -> bool {
-        let begins = DAY_START + FAULTS_BEGIN;
+        let begins = SIMULATION_START + DISRUPTION_DELAY;
         let partition = begins..begins + PARTITION_LENGTH;
-        self.plan.day == Day::ZonePartitioned && partition.contains(&self.now)
+        self.plan.disruption == Disruption::ZonePartitioned && partition.contains(&self.now)
     }
 
-    /// Takes an idle connection, or else opens one. Returns whether there was an idle one.
+    /// Takes an idle connection, or opens one. Returns whether there was an idle connection.
     pub fn take_connection(&mut self, instance: usize, endpoint: usize) -> bool {
         let (now, timeout) = (self.now, self.settings.connection_idle_timeout);
         let connections = &mut self.instances[instance].idle_connections;
@@ -103,7 +103,7 @@
         free.is_some()
     }
 
-    /// A connection is idle again from this time on.
+    /// Returns a connection to the idle ones, from this time on.
     pub fn keep_connection(&mut self, instance: usize, endpoint: usize, idle_since: Timestamp) {
         let connections = &mut self.instances[instance].idle_connections;
         connections.entry(endpoint).or_default().push(idle_since);
@@ -114,7 +114,7 @@
         let job = job.id.parse().unwrap_or_default();
         self.check_may_send_to(instance, endpoint);
         self.check_may_send_job(key, endpoint, job);
-        self.note_slow_start_send(instance, endpoint, job);
+        self.record_slow_start_send(instance, endpoint, job);
         self.attempts.insert(key, AttemptInFlight { endpoint, job });
         let was_idle = self.take_connection(instance, endpoint);
         if self.is_reachable(instance, endpoint) {
@@ -125,14 +125,14 @@
             let timeout = self.settings.connect_timeout;
             self.end_attempt(key, AttemptOutcome::ConnectFailed, timeout);
         }
-        // An idle connection to a silent endpoint takes the job, and nothing comes back.
+        // A job that is sent on an idle connection to an unreachable endpoint has no outcome.
     }
 
     fn check_may_send_to(&mut self, instance: usize, endpoint: usize) {
         let notified_at = self.leave_notified_at(instance, endpoint);
         if let Some(notified_at) = notified_at.filter(|&at| self.now > at + DRAIN_GRACE) {
             let late = self.now.saturating_duration_since(notified_at).as_millis();
-            self.violation(format!(
+            self.record_violation(format!(
                 "instance {instance} sends to endpoint {endpoint}, \
                  {late} ms after it was notified that it leaves"
             ));
@@ -151,11 +151,11 @@
         });
         if let Some(violation) = violation {
             let class = job.requirements.class;
-            self.violation(format!("job {id} of class {class} {violation}"));
+            self.record_violation(format!("job {id} of class {class} {violation}"));
         }
     }
 
-    fn note_slow_start_send(&mut self, instance: usize, endpoint: usize, job: u64) {
+    fn record_slow_start_send(&mut self, instance: usize, endpoint: usize, job: u64) {
         let target = &self.endpoints[endpoint];
         if target.slow_start_factor(self.now).is_none() {
             return;
@@ -165,28 +165,28 @@
         sends.push(SlowStartSend {
             at: self.now,
             work_us: work_us * slots,
-            knows_start: self.settings.polls_discovery
+            sender_notified: self.settings.polls_discovery
                 || target.notified_at.contains_key(&instance),
         });
     }
 
-    /// The core aborts an attempt, or its process has ended.
+    /// Aborts an attempt, because its core asks for it or its process has ended.
     pub fn abort_attempt(&mut self, key: AttemptKey) {
         if let Some(in_flight) = self.attempts.remove(&key) {
             let started = self.endpoints[in_flight.endpoint].cancel(self.now, key);
-            self.runs_start(in_flight.endpoint, started);
+            self.schedule_run_ends(in_flight.endpoint, started);
         }
     }
 
-    /// The core gets the outcome of an attempt.
-    pub fn forget_attempt(&mut self, incarnation: Incarnation, attempt: AttemptId) {
+    /// Removes an attempt whose outcome is delivered to the core.
+    pub fn remove_attempt(&mut self, incarnation: Incarnation, attempt: AttemptId) {
         self.attempts.remove(&AttemptKey {
             incarnation,
             attempt,
         });
     }
 
-    /// An attempt ends; its core gets the outcome after this delay.
+    /// Ends an attempt. Its core receives the outcome after this delay.
     pub fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome, delay: Duration) {
         let in_flight = self.attempts.get(&key);
         let endpoint = in_flight.map(|in_flight| in_flight.endpoint);
@@ -230,7 +230,8 @@
         };
         let &AttemptInFlight { endpoint, job } = in_flight;
         let is_reset = !self.endpoints[endpoint].is_alive
-            || self.plan.day == Day::ImpatientClients && self.rng.u32(..RESETS_ONE_IN) == 0;
+            || self.plan.disruption == Disruption::ImpatientClients
+                && self.rng.u32(..RESETS_ONE_IN) == 0;
         if is_reset {
             return self.end_attempt(key, AttemptOutcome::Reset, NETWORK_DELAY);
         }
@@ -240,28 +241,28 @@
             remaining: None,
         };
         let started = self.endpoints[endpoint].submit(self.now, run);
-        self.runs_start(endpoint, started);
+        self.schedule_run_ends(endpoint, started);
     }
 
-    fn runs_start(&mut self, endpoint: usize, started: Vec<StartedRun>) {
+    fn schedule_run_ends(&mut self, endpoint: usize, started: Vec<StartedRun>) {
         for started in started {
             if started.is_resumed {
                 self.summary.resumed_jobs += 1;
             } else if let Some(in_flight) = self.attempts.get(&started.key) {
                 let job = in_flight.job;
-                self.job_starts(endpoint, started.key, job);
+                self.record_job_start(endpoint, started.key, job);
             }
             let run = started.run;
             self.schedule(started.duration, SimulationEvent::RunEnds { endpoint, run });
         }
     }
 
-    fn job_starts(&mut self, endpoint: usize, key: AttemptKey, id: u64) {
+    fn record_job_start(&mut self, endpoint: usize, key: AttemptKey, id: u64) {
         let job = self.jobs.entry(id).or_default();
         job.executions += 1;
         let class = &self.settings.classes[job.requirements.class];
         if class.idempotency == Idempotency::NonIdempotent && job.executions > 1 {
-            self.violation(format!("job {id} runs twice"));
+            self.record_violation(format!("job {id} runs twice"));
         }
         if self.is_reachable(key.incarnation.instance, endpoint) {
             let updated = Event::AttemptUpdated {
@@ -284,6 +285,6 @@
             let served = AttemptOutcome::Served(Bytes::from_static(b"1"));
             self.end_attempt(key, served, NETWORK_DELAY);
         }
-        self.runs_start(endpoint, ended.started);
+        self.schedule_run_ends(endpoint, ended.started);
     }
 }
--- a/crates/test-support/src/fleet/discovery.rs
+++ b/crates/test-support/src/fleet/discovery.rs
@@ -1,10 +1,11 @@
-//! Discovery: a service of limited capacity that all instances share, or an agent beside each one.
+//! Discovery: a service of limited capacity that all instances share, or an agent beside each
+//! instance.
 //!
-//! An instance calls on its schedule and gets a watch, on which it is notified of changes and of
-//! heartbeats. The delays of its notifications are part of the summary.
+//! An instance calls discovery on its schedule and opens a watch, on which it receives changes and
+//! heartbeats. The summary includes the notification delays.
 
-use super::agenda::{Incarnation, SimulationEvent, WatchId};
 use super::endpoint_list::{ListChange, list_updated};
+use super::event_queue::{Incarnation, SimulationEvent, WatchId};
 use super::plan::InjectedFault;
 use super::simulation::Simulation;
 use pumiceway_core::EndpointListUpdate;
@@ -13,16 +14,16 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Each call takes the service this long, one after the other. It is overloaded if all instances
-/// restart at once.
+/// The time that the service takes for each call. It serves one call at a time, and is overloaded
+/// if all instances restart at the same time.
 const CALL_COST: Duration = Duration::from_millis(7);
 /// A call that waits longer than this fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a watch stood that is replaced: long enough to count as one that was served.
-const WATCH_STOOD: Duration = Duration::from_secs(30);
+/// The duration of a watch that is passed to the call schedule: long enough to count as success.
+const SERVED_WATCH_DURATION: Duration = Duration::from_secs(30);
 /// A watch without changes sends a heartbeat this often.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// How late lists are where they are delayed on purpose.
+/// The delay of lists under [`InjectedFault::ListDelayed`].
 const INJECTED_LIST_DELAY: Duration = Duration::from_secs(2);
 
 impl Simulation {
@@ -32,7 +33,7 @@
     }
 
     pub fn discovery_called(&mut self, watch: WatchId) {
-        if !self.is_current_watch(watch) || self.day_is_over() {
+        if !self.is_current_watch(watch) || self.traffic_has_ended() {
             return;
         }
         if !self.settings.polls_discovery {
@@ -42,13 +43,13 @@
         self.discovery_free_at = self.discovery_free_at.max(self.now) + CALL_COST;
         let wait = self.discovery_free_at.saturating_duration_since(self.now);
         if wait > CALL_TIMEOUT {
-            self.call_fails(watch);
+            self.fail_call(watch);
         } else {
             self.schedule(wait, SimulationEvent::WatchOpened(watch));
         }
     }
 
-    fn call_fails(&mut self, watch: WatchId) {
+    fn fail_call(&mut self, watch: WatchId) {
         let instance = watch.incarnation.instance;
         let draw = self.rng.f64();
         let schedule = &mut self.instances[instance].call_schedule;
@@ -71,8 +72,11 @@
         }
         let instance = &mut self.instances[watch.incarnation.instance];
         instance.has_watch = true;
-        // Resets the failures of the schedule. The next call is made only once this watch is lost.
-        instance.call_schedule.next(WATCH_STOOD, true, 0.0);
+        // Resets the failure count of the schedule. The returned delay is not used: the next call is
+        // made only after this watch is lost.
+        instance
+            .call_schedule
+            .next(SERVED_WATCH_DURATION, true, 0.0);
         let version = if self.settings.polls_discovery {
             self.changes.len()
         } else {
@@ -84,7 +88,7 @@
 
     pub fn watch_heartbeat(&mut self, watch: WatchId) {
         let has_watch = self.instances[watch.incarnation.instance].has_watch;
-        if !self.is_current_watch(watch) || !has_watch || self.day_is_over() {
+        if !self.is_current_watch(watch) || !has_watch || self.traffic_has_ended() {
             return;
         }
         let unchanged = list_updated(self.now, EndpointListUpdate::Unchanged);
@@ -120,7 +124,7 @@
         }
         let from = std::mem::replace(&mut instance.list_version, version);
         let is_first = !std::mem::replace(&mut instance.has_list, true);
-        self.note_notification(incarnation.instance, from, version, is_first);
+        self.record_notification(incarnation.instance, from, version, is_first);
         let update = if is_first {
             self.snapshot(version)
         } else {
@@ -135,8 +139,8 @@
         self.schedule(delay, SimulationEvent::Delivered(incarnation, updated));
     }
 
-    /// Notes when an instance was notified of some changes, and how late.
-    fn note_notification(&mut self, instance: usize, from: usize, to: usize, is_first: bool) {
+    /// Records when an instance was notified of a range of changes, and the longest delay.
+    fn record_notification(&mut self, instance: usize, from: usize, to: usize, is_first: bool) {
         let now = self.now;
         let started_at = self.instances[instance].started_at;
         let max_delay = if is_first {
@@ -144,7 +148,8 @@
         } else {
             &mut self.summary.max_change_delay
         };
-        // Empty where an agent has an older version than an earlier process was notified of.
+        // The range is empty if the agent has an older version than an earlier process of the
+        // instance was notified of.
         let changes = self.changes.get(from..to).unwrap_or_default();
         for &ListChange { at, endpoint } in changes {
             let delay = now.saturating_duration_since(at.max(started_at));
@@ -158,7 +163,7 @@
         }
     }
 
-    /// The whole list of a version.
+    /// The whole list at a version.
     fn snapshot(&self, version: usize) -> EndpointListUpdate {
         let listed = (0..self.endpoints.len())
             .filter(|&endpoint| self.state_at(endpoint, version) != EndpointState::Gone);
@@ -166,7 +171,7 @@
         EndpointListUpdate::Snapshot(entries.collect())
     }
 
-    /// What has changed between two versions, an entry for each endpoint.
+    /// The changes between two versions, with one entry for each changed endpoint.
     fn delta(&self, from: usize, to: usize) -> EndpointListUpdate {
         let changes = self.changes[from..to].iter();
         let changed: BTreeSet<usize> = changes.map(|change| change.endpoint).collect();
--- a/crates/test-support/src/fleet/faults.rs
+++ b/crates/test-support/src/fleet/disruptions.rs
@@ -1,60 +1,62 @@
-//! What happens during a day, step by step: instances that are killed or restarted, endpoints that
-//! are replaced, lost or silent, and tenants that send too much.
+//! Carries out the disruption of a simulation, step by step: instances that are killed or
+//! restarted, endpoints that are replaced, lost or silent, and tenants that exceed their quota.
 
-use super::agenda::SimulationEvent;
 use super::attempts::NETWORK_DELAY;
 use super::endpoint::{Placement, SimulatedEndpoint};
-use super::plan::Day;
+use super::event_queue::SimulationEvent;
+use super::plan::Disruption;
 use super::simulation::Simulation;
 use pumiceway_core::{AttemptOutcome, Event};
 use pumiceway_decisions::api::EndpointState;
 use std::time::Duration;
 
-/// How long killed instances are down; longer if endpoints drain meanwhile.
-const KILLED_DOWN: Duration = Duration::from_millis(400);
-const KILLED_DOWN_FOR_DRAIN: Duration = Duration::from_secs(7);
-/// Instances are killed whose index modulo ten is below this.
+/// How long killed instances are down, without and with endpoints that drain meanwhile.
+const KILLED_DOWNTIME: Duration = Duration::from_millis(400);
+const KILLED_DOWNTIME_FOR_DRAIN: Duration = Duration::from_secs(7);
+/// An instance is killed if its index modulo ten is below this.
 const KILLED_IN_TEN: usize = 7;
-/// A rolling restart and an addition of endpoints have this many steps.
+/// A rolling restart, and the addition of endpoints, have this many steps.
 const ROLLING_STEPS: usize = 10;
 const RESTART_STEP: Duration = Duration::from_millis(800);
 const ADDITION_STEP: Duration = Duration::from_millis(500);
 /// A new configuration reaches all instances in this many steps.
-const MOVE_STEPS: usize = 16;
-const MOVE_STEP: Duration = Duration::from_millis(500);
-/// Endpoints are replaced in this many steps, if their index modulo ten is below this.
+const DISCOVERY_MOVE_STEPS: usize = 16;
+const DISCOVERY_MOVE_STEP: Duration = Duration::from_millis(500);
+/// Endpoints are replaced in this many steps. An endpoint is replaced if its index modulo ten is
+/// below `REPLACED_IN_TEN`.
 const REPLACEMENT_STEPS: usize = 7;
 const REPLACEMENT_STEP: Duration = Duration::from_secs(1);
 const REPLACED_IN_TEN: usize = 6;
-/// A lost zone is listed as gone after the first time, and back after the second.
+/// The time from the loss of a zone until its endpoints are listed as gone, and from then until they
+/// are ready again.
 const ZONE_LISTED_GONE: Duration = Duration::from_secs(2);
-const ZONE_RETURNS: Duration = Duration::from_secs(3);
-/// One endpoint in so many is silent, for so long.
+const ZONE_RESTORED: Duration = Duration::from_secs(3);
+/// One in this many endpoints is silent, for this long.
 const SILENT_ONE_IN: usize = 5;
 const SILENT_FOR: Duration = Duration::from_secs(6);
-/// One endpoint in so many drains.
+/// One in this many endpoints drains.
 const DRAINING_ONE_IN: usize = 3;
-/// How long a tenant sends too much.
+/// How long a tenant exceeds its quota.
 const FLOOD_LENGTH: Duration = Duration::from_secs(6);
 
 impl Simulation {
-    /// Does one step of the day, and schedules the next if there is one.
-    pub fn day_step(&mut self, step: usize) {
-        let next = match self.plan.day {
-            Day::Calm | Day::ZonePartitioned | Day::ImpatientClients => None,
-            Day::TenantFlood => self.flood_step(),
-            Day::InstancesKilled => self.kill_step(),
-            Day::InstancesKilledBeforeDrain => self.kill_and_drain_step(step),
-            Day::RollingRestart => self.rolling_restart_step(step),
-            Day::DiscoveryMoved => self.move_step(step),
-            Day::EndpointsReplaced => self.replacement_step(step),
-            Day::ZoneLost => self.zone_step(step),
-            Day::EndpointsSilent => self.silence_step(step),
-            Day::EndpointsAdded => self.addition_step(step),
-            Day::ListsDelayed => self.drain_step(),
+    /// Carries out one step of the disruption, and schedules the next step if there is one.
+    pub fn disruption_step(&mut self, step: usize) {
+        let next = match self.plan.disruption {
+            Disruption::None | Disruption::ZonePartitioned | Disruption::ImpatientClients => None,
+            Disruption::TenantFlood => self.flood_step(),
+            Disruption::InstancesKilled => self.kill_step(),
+            Disruption::InstancesKilledBeforeDrain => self.kill_and_drain_step(step),
+            Disruption::RollingRestart => self.rolling_restart_step(step),
+            Disruption::DiscoveryMoved => self.discovery_move_step(step),
+            Disruption::EndpointsReplaced => self.replacement_step(step),
+            Disruption::ZoneLost => self.zone_step(step),
+            Disruption::EndpointsSilent => self.silence_step(step),
+            Disruption::EndpointsAdded => self.addition_step(step),
+            Disruption::ListsDelayed => self.drain_step(),
         };
         if let Some(delay) = next {
-            self.schedule(delay, SimulationEvent::DayStep(step + 1));
+            self.schedule(delay, SimulationEvent::DisruptionStep(step + 1));
         }
     }
 
@@ -70,7 +72,7 @@
     fn kill_step(&mut self) -> Option<Duration> {
         for instance in self.killed_instances() {
             self.kill_instance(instance);
-            self.schedule(KILLED_DOWN, SimulationEvent::InstanceStarts(instance));
+            self.schedule(KILLED_DOWNTIME, SimulationEvent::InstanceStarts(instance));
         }
         None
     }
@@ -86,7 +88,7 @@
             self.kill_instance(instance);
         }
         self.drain_step();
-        Some(KILLED_DOWN_FOR_DRAIN)
+        Some(KILLED_DOWNTIME_FOR_DRAIN)
     }
 
     fn drain_step(&mut self) -> Option<Duration> {
@@ -106,9 +108,9 @@
         (step + 1 < ROLLING_STEPS).then_some(RESTART_STEP)
     }
 
-    fn move_step(&mut self, step: usize) -> Option<Duration> {
+    fn discovery_move_step(&mut self, step: usize) -> Option<Duration> {
         let instances = 0..self.plan.instances;
-        for instance in instances.filter(|instance| instance % MOVE_STEPS == step) {
+        for instance in instances.filter(|instance| instance % DISCOVERY_MOVE_STEPS == step) {
             let configured = Event::Configured {
                 discovery: Some("elsewhere".to_owned()),
                 list_version: None,
@@ -116,8 +118,8 @@
             };
             self.deliver(self.current_incarnation(instance), configured);
         }
-        self.replace_endpoint(self.plan.endpoints * step / MOVE_STEPS);
-        (step + 1 < MOVE_STEPS).then_some(MOVE_STEP)
+        self.replace_endpoint(self.plan.endpoints * step / DISCOVERY_MOVE_STEPS);
+        (step + 1 < DISCOVERY_MOVE_STEPS).then_some(DISCOVERY_MOVE_STEP)
     }
 
     fn replacement_step(&mut self, step: usize) -> Option<Duration> {
@@ -136,12 +138,12 @@
             match step {
                 0 => self.kill_endpoint(endpoint),
                 1 => self.change_state(endpoint, EndpointState::Gone),
-                _ => self.return_endpoint(endpoint),
+                _ => self.restore_endpoint(endpoint),
             }
         }
         match step {
             0 => Some(ZONE_LISTED_GONE),
-            1 => Some(ZONE_RETURNS),
+            1 => Some(ZONE_RESTORED),
             _ => None,
         }
     }
@@ -164,7 +166,7 @@
 
     fn kill_endpoint(&mut self, endpoint: usize) {
         self.endpoints[endpoint].is_alive = false;
-        for key in self.endpoints[endpoint].lose_all() {
+        for key in self.endpoints[endpoint].drop_all_runs() {
             if self.attempts.contains_key(&key) {
                 self.end_attempt(key, AttemptOutcome::Reset, NETWORK_DELAY);
             }
@@ -174,14 +176,15 @@
         }
     }
 
-    fn return_endpoint(&mut self, index: usize) {
+    fn restore_endpoint(&mut self, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.is_alive = true;
         endpoint.ready_at = self.now;
         self.change_state(index, EndpointState::Ready);
     }
 
-    /// An endpoint that has not changed so far drains, and another one of its zone is added.
+    /// Drains an endpoint and adds another one in its zone, unless the state of the endpoint has
+    /// been changed before.
     fn replace_endpoint(&mut self, endpoint: usize) {
         if self.endpoints[endpoint].states.is_empty() {
             self.change_state(endpoint, EndpointState::Draining);
--- a/crates/test-support/src/fleet/effects.rs
+++ b/crates/test-support/src/fleet/effects.rs
@@ -1,7 +1,7 @@
-//! What the simulation does for each effect of a core.
+//! Executes the effects of a core in the simulation.
 
-use super::agenda::{AttemptKey, Incarnation, SimulationEvent, WatchId};
 use super::attempts::NETWORK_DELAY;
+use super::event_queue::{AttemptKey, Incarnation, SimulationEvent, WatchId};
 use super::plan::InjectedFault;
 use super::simulation::Simulation;
 use pumiceway_core::{
@@ -10,22 +10,23 @@
 use pumiceway_decisions::api::{EndpointId, Outcome, Timestamp};
 use std::time::Duration;
 
-/// How much later calls to discovery begin where they are slow on purpose.
+/// The factor by which [`InjectedFault::DiscoveryCallsSlow`] delays calls to discovery.
 const SLOW_CALL_FACTOR: u32 = 10;
 
-/// The index of an endpoint in the simulation, which is its address. Each core has ids of its own.
+/// The index of an endpoint in the simulation, which serves as its address. Endpoint ids differ
+/// between cores.
 pub(super) fn endpoint_index(address: &EndpointAddress) -> usize {
     address.to_string().parse().unwrap_or(usize::MAX)
 }
 
-/// How a health check goes.
+/// The result of a health check.
 struct HealthCheckRun {
     outcome: Outcome,
     duration: Duration,
 }
 
 impl Simulation {
-    pub fn carry_out(&mut self, incarnation: Incarnation, effect: Effect) {
+    pub fn execute_effect(&mut self, incarnation: Incarnation, effect: Effect) {
         let instance = incarnation.instance;
         match effect {
             Effect::StartAttempt {
@@ -74,9 +75,9 @@
         } else {
             response
         };
-        self.response_arrives(incarnation, handle, &response);
+        self.receive_response(incarnation, handle, &response);
         if self.plan.injects(InjectedFault::ResponseRepeated) && handle.0 % 1_000 == 7 {
-            self.response_arrives(incarnation, handle, &response);
+            self.receive_response(incarnation, handle, &response);
         }
     }
 
--- a/crates/test-support/src/fleet/endpoint.rs
+++ b/crates/test-support/src/fleet/endpoint.rs
@@ -1,22 +1,22 @@
-//! A simulated endpoint: slots, memory, a queue and a slow start.
+//! A simulated endpoint with slots, memory, a queue and slow start.
 //!
-//! Jobs wait in order of priority, and of arrival within a priority. Where the deployment allows
-//! it, a job suspends an idempotent one of lower priority, which keeps its memory meanwhile.
+//! Jobs are queued by priority, and in order of arrival within a priority. If the deployment allows
+//! it, a job suspends an idempotent job of lower priority, which keeps its memory meanwhile.
 
-use super::agenda::AttemptKey;
+use super::event_queue::AttemptKey;
 use super::micros_f64;
-use super::workload::{MachineTraits, Requirements, Workload};
+use super::workload::{MachineSpec, Requirements, Workload};
 use pumiceway_decisions::api::{EndpointState, KindId, LoadReport, Settings, Timestamp};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A job that waits at an endpoint.
+/// A queued, suspended or running job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRun {
     pub key: AttemptKey,
     pub requirements: Requirements,
-    /// The time that it still needs, once it has run and was suspended.
+    /// The remaining run time of a job that was suspended.
     pub remaining: Option<Duration>,
 }
 
@@ -25,23 +25,23 @@
     ends_at: Timestamp,
 }
 
-/// A job that has begun to run or was resumed.
+/// A job that was started or resumed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartedRun {
-    /// Its number at the endpoint.
+    /// The number of the run at the endpoint.
     pub run: u64,
     pub key: AttemptKey,
     pub duration: Duration,
     pub is_resumed: bool,
 }
 
-/// A job that has ended, and those that begin in its place.
+/// A job that has ended, and the jobs that were started in its place.
 pub(super) struct EndedRun {
     pub key: AttemptKey,
     pub started: Vec<StartedRun>,
 }
 
-/// A state of an endpoint, with the index of the change that set it in the history of the list.
+/// A state of an endpoint in the list, with the index of the change that set it.
 pub(super) struct ListedState {
     pub change: usize,
     pub state: EndpointState,
@@ -53,13 +53,13 @@
     pub ready_at: Timestamp,
 }
 
-/// Where an endpoint is in the fleet.
+/// The place of a new endpoint in the fleet.
 pub(super) struct Placement {
     pub zone: usize,
     pub index: usize,
-    /// It is part of the fleet from the start of the day, and needs no line that announces it.
+    /// Whether it is listed from the start of the simulation, without a change that adds it.
     pub is_initial: bool,
-    /// When it became ready; the origin of the clock if it was always.
+    /// When it became ready; the origin of the clock if it was ready from the start.
     pub ready_at: Timestamp,
 }
 
@@ -68,12 +68,12 @@
     pub kind: KindId,
     pub is_initial: bool,
     pub is_alive: bool,
-    /// Nothing reaches it, and nothing that it sends arrives.
+    /// Whether messages to it and from it are lost.
     pub is_silent: bool,
     pub ready_at: Timestamp,
     pub states: Vec<ListedState>,
     pub starts: Vec<ListedStart>,
-    /// When each instance was notified of the last of the states.
+    /// When each instance was notified of the latest state.
     pub notified_at: HashMap<usize, Timestamp>,
     workload: Arc<Workload>,
     slow_start_share: f64,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Notes that a change of the list has given it this state, of which nobody is notified yet.
+    /// Records a change of its state in the list, of which no instance is notified yet.
     pub fn change_state(&mut self, change: usize, state: EndpointState, now: Timestamp) {
         self.states.push(ListedState { change, state });
         self.notified_at.clear();
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The share of its capacity that it has during its slow start; none after it.
+    /// The share of its capacity that is available during slow start; none after it.
     pub fn slow_start_factor(&self, now: Timestamp) -> Option<f64> {
         let age = now.saturating_duration_since(self.ready_at);
         if self.ready_at == Timestamp::ORIGIN || age >= self.slow_start_duration {
@@ -138,11 +138,11 @@
         Some(self.slow_start_share + grown_share)
     }
 
-    fn machine(&self) -> &'static MachineTraits {
+    fn machine(&self) -> &'static MachineSpec {
         &self.workload.machines[self.kind.0]
     }
 
-    /// The work that it does per unit of time when its slow start is over.
+    /// The work per unit of time after slow start.
     pub fn capacity(&self) -> f64 {
         self.machine().capacity()
     }
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Takes the report that was due since the last change. Comes before each change, as the report
-    /// shows what was there until then.
+    /// Updates the load report if a report interval has begun since the last one. Called before each
+    /// change, so that the report shows the state at the start of the interval.
     fn refresh_report(&mut self, now: Timestamp) {
         let interval = self.workload.report_interval;
         if interval.is_zero() {
@@ -198,7 +198,7 @@
         self.reported_at = now;
     }
 
-    /// A job arrives. Returns the jobs that begin.
+    /// Queues a job. Returns the jobs that are started.
     pub fn submit(&mut self, now: Timestamp, run: PendingRun) -> Vec<StartedRun> {
         self.refresh_report(now);
         let priority = run.requirements.priority;
@@ -210,7 +210,7 @@
         self.start_runs(now)
     }
 
-    /// A job ends, if it still runs.
+    /// Ends a job, if it still runs.
     pub fn finish(&mut self, now: Timestamp, run: u64) -> Option<EndedRun> {
         self.refresh_report(now);
         let ended = self.running.remove(&run)?;
@@ -220,8 +220,9 @@
         })
     }
 
-    /// An attempt is aborted: its job may leave the queue, or else runs to its end in vain. Returns
-    /// the jobs that begin.
+    /// Cancels the job of an aborted attempt. It is removed from the queue if the workload drops
+    /// cancelled jobs; otherwise, or if it has started, it still runs to its end. Returns the jobs
+    /// that are started.
     pub fn cancel(&mut self, now: Timestamp, key: AttemptKey) -> Vec<StartedRun> {
         if self.workload.drops_cancelled {
             self.refresh_report(now);
@@ -230,8 +231,8 @@
         self.start_runs(now)
     }
 
-    /// Loses all jobs. Returns the attempts that they belong to.
-    pub fn lose_all(&mut self) -> Vec<AttemptKey> {
+    /// Drops all jobs. Returns the attempts that they belong to.
+    pub fn drop_all_runs(&mut self) -> Vec<AttemptKey> {
         let running = std::mem::take(&mut self.running).into_values();
         running
             .map(|active| active.run)
@@ -268,7 +269,7 @@
         started
     }
 
-    /// The suspended job that is next. It goes before queued ones of its own priority.
+    /// The suspended job to resume, if any. It takes precedence over queued jobs of its priority.
     fn next_resumed(&self) -> Option<PendingRun> {
         let queued = self.queue.front().map(|run| run.requirements.priority);
         let suspended = self.suspended.front().copied();
@@ -291,7 +292,8 @@
         }
     }
 
-    /// Suspends the last job that may yield to one of this priority. Returns whether there was one.
+    /// Suspends the job that was started last among those that a job of this priority may preempt.
+    /// Returns whether there was one.
     fn suspend_one(&mut self, now: Timestamp, priority: u32) -> bool {
         let yields = |run: &PendingRun| {
             run.requirements.is_idempotent && run.requirements.priority < priority
--- a/crates/test-support/src/fleet/endpoint_list.rs
+++ b/crates/test-support/src/fleet/endpoint_list.rs
@@ -1,21 +1,22 @@
-//! The endpoint list: its history, what each version of it says, and when an instance counts as
+//! The endpoint list: its history, the content of each version, and when an instance counts as
 //! notified of a change.
 
 use super::NOTIFICATION_LIMIT;
-use super::agenda::SimulationEvent;
-use super::plan::{Day, Deployment, InjectedFault};
+use super::event_queue::SimulationEvent;
+use super::plan::{Deployment, Disruption, InjectedFault};
 use super::simulation::Simulation;
 use pumiceway_core::{Endpoint, EndpointAddress, EndpointListUpdate, EndpointSource, Event};
 use pumiceway_decisions::api::{EndpointState, Timestamp, ZoneId};
 use std::time::Duration;
 
-/// A change reaches the agent beside an instance after a time between these two.
+/// A pushed change reaches the agent beside an instance after a delay between these two.
 const MIN_PUSH_DELAY: Duration = Duration::from_secs(1);
 const MAX_PUSH_DELAY: Duration = Duration::from_secs(4);
-/// A change comes on a watch of the discovery service after this time, and up to this much more.
+/// A watch of the discovery service delivers a change after at least this delay, plus up to
+/// `WATCH_DELAY_SPREAD`.
 const MIN_WATCH_DELAY: Duration = Duration::from_millis(5);
 const WATCH_DELAY_SPREAD: Duration = Duration::from_millis(100);
-/// Either maximum, on a day on which lists are delayed.
+/// Replaces `MAX_PUSH_DELAY` and `WATCH_DELAY_SPREAD` under [`Disruption::ListsDelayed`].
 const DELAYED_LIST_DELAY: Duration = Duration::from_millis(5_500);
 
 /// A change of the endpoint list.
@@ -24,7 +25,7 @@
     pub endpoint: usize,
 }
 
-/// The event by which a core is notified of what discovery has.
+/// The event that delivers an update from discovery to a core.
 pub(super) fn list_updated(as_of: Timestamp, update: EndpointListUpdate) -> Event {
     Event::EndpointListUpdated {
         source: EndpointSource::Discovery,
@@ -55,12 +56,12 @@
             .map_or(Timestamp::ORIGIN, |start| start.ready_at)
     }
 
-    /// The line of an endpoint in a version of the list.
+    /// The entry of an endpoint in a version of the list.
     pub fn list_entry(&self, endpoint: usize, version: usize) -> Endpoint {
         let simulated = &self.endpoints[endpoint];
         let relative_size = match self.plan.deployment {
             Deployment::Polled => 1.0,
-            // Its weights fall with load, and are no sizes.
+            // The weights in these lists fall with load, so they are not used as sizes.
             Deployment::Pushed => 0.0,
         };
         Endpoint {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// When an instance was notified, or counts as notified, that an endpoint leaves; none if the
-    /// endpoint does not leave.
+    /// When an instance was notified, or counts as notified, that an endpoint is draining or gone;
+    /// none if the endpoint is ready.
     pub fn leave_notified_at(&self, instance: usize, endpoint: usize) -> Option<Timestamp> {
         let started_at = self.instances[instance].started_at;
         let endpoint = &self.endpoints[endpoint];
@@ -89,15 +90,15 @@
         let limit = self.changes[last.change].at + NOTIFICATION_LIMIT;
         let notified_at = endpoint.notified_at.get(&instance).copied();
         if !self.settings.polls_discovery {
-            // A new process counts as notified at once of what its agent has.
+            // A new process counts as notified at once of the list that its agent has.
             return Some(notified_at.map_or(limit, |at| at.max(started_at)));
         }
-        // Whenever the process started: it would have been notified, had it polled.
+        // The limit holds whenever the process started, as it should have polled by then.
         let by_this_process = notified_at.filter(|&at| at >= started_at);
         Some(by_this_process.map_or(limit, |at| at.min(limit)))
     }
 
-    /// Changes the state of an endpoint in the list, which reaches each instance with a delay.
+    /// Changes the state of an endpoint in the list. The change reaches each instance with a delay.
     pub fn change_state(&mut self, index: usize, state: EndpointState) {
         let change = self.changes.len();
         self.changes.push(ListChange {
@@ -130,13 +131,13 @@
     }
 
     fn max_list_delay(&self, usual: Duration) -> Duration {
-        match self.plan.day {
-            Day::ListsDelayed => DELAYED_LIST_DELAY,
+        match self.plan.disruption {
+            Disruption::ListsDelayed => DELAYED_LIST_DELAY,
             _ => usual,
         }
     }
 
-    /// Draws a duration from the first up to the second, in whole microseconds.
+    /// Draws a duration between the two, in whole microseconds.
     fn draw_duration(&mut self, min: Duration, max: Duration) -> Duration {
         let micros = self.rng.u64(min.as_micros() as u64..max.as_micros() as u64);
         Duration::from_micros(micros)
--- a/crates/test-support/src/fleet/agenda.rs
+++ b/crates/test-support/src/fleet/event_queue.rs
@@ -1,46 +1,46 @@
-//! The events of a simulation, in the order of simulated time.
+//! The pending events of a simulation, ordered by simulated time.
 //!
-//! Events of the same moment happen in the order in which they were scheduled, so a simulation
-//! depends on nothing but its plan.
+//! Events with the same time are handled in the order in which they were scheduled, which keeps
+//! simulations deterministic.
 
 use super::clients::SimulatedRequest;
 use pumiceway_core::{AttemptId, Event, RequestHandle};
 use pumiceway_decisions::api::Timestamp;
 use std::collections::BTreeMap;
 
-/// One process of an instance. What is addressed to an earlier process of it is dropped.
+/// One process of an instance. Events that are addressed to an earlier process are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Incarnation {
     pub instance: usize,
-    /// Counts the processes of the instance, from 1.
+    /// The number of this process among all processes of the instance, from 1.
     pub number: u32,
 }
 
-/// An attempt, which is named by its process alone.
+/// An attempt. Attempt ids are unique only within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct AttemptKey {
     pub incarnation: Incarnation,
     pub attempt: AttemptId,
 }
 
-/// A watch that a process has asked for. Each one replaces those before it.
+/// A watch that a process has requested. Each watch replaces the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WatchId {
     pub incarnation: Incarnation,
-    /// Counts the watches of the process, from 1.
+    /// The number of this watch among all watches of the process, from 1.
     pub number: u32,
 }
 
 pub(super) enum SimulationEvent {
-    /// A client begins a new request.
+    /// A client sends a new request.
     ClientArrives,
     /// A client retries after an overload response.
     ClientRetries(SimulatedRequest),
-    /// The time of a request is over.
+    /// The deadline of a request passes.
     DeadlinePasses(RequestHandle),
-    /// A core gets an event.
+    /// A core receives an event.
     Delivered(Incarnation, Event),
-    /// The timer that was set for this time fires, unless it was set anew.
+    /// The timer that was set for this time fires, unless it has been set to another time.
     TimerExpires(Incarnation, Timestamp),
     AttemptArrives(AttemptKey),
     RunEnds {
@@ -57,22 +57,22 @@
         instance: usize,
         version: usize,
     },
-    /// The next step of what happens during the day.
-    DayStep(usize),
+    /// The next step of the disruption.
+    DisruptionStep(usize),
     InstanceStarts(usize),
     /// The supervisor kills a process that has not stopped in time.
     StopForced(Incarnation),
 }
 
-/// The events that are yet to happen.
+/// The pending events.
 #[derive(Default)]
-pub(super) struct Agenda {
+pub(super) struct EventQueue {
     events: BTreeMap<(Timestamp, u64), SimulationEvent>,
     last_sequence: u64,
 }
 
-impl Agenda {
-    /// A number that is larger than all before. Requests and events share one sequence.
+impl EventQueue {
+    /// Returns the next sequence number. Requests and events share one sequence.
     pub fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
@@ -83,7 +83,7 @@
         self.events.insert((at, sequence), event);
     }
 
-    /// Takes the next event off, and the time when it happens.
+    /// Removes the next event. Returns it with its time.
     pub fn pop(&mut self) -> Option<(Timestamp, SimulationEvent)> {
         let ((at, _), event) = self.events.pop_first()?;
         Some((at, event))
--- a/crates/test-support/src/fleet/instances.rs
+++ b/crates/test-support/src/fleet/instances.rs
@@ -1,8 +1,9 @@
-//! Dispatcher instances: a core each, which starts, gets events, stops and is restarted.
+//! Dispatcher instances. Each has a core, which is started, receives events, and is stopped or
+//! killed.
 
-use super::agenda::{Incarnation, SimulationEvent};
 use super::clients::OpenRequest;
 use super::endpoint_list::list_updated;
+use super::event_queue::{Incarnation, SimulationEvent};
 use super::plan::InjectedFault;
 use super::settings::settings;
 use super::simulation::Simulation;
@@ -12,44 +13,44 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The supervisor kills a process so long after it was asked to stop.
+/// The supervisor kills a process this long after it was asked to stop.
 pub(super) const STOP_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// A request that arrives later than this after the stop was asked for has a response before the
-/// process is killed, even if its deadline is later.
+/// A request that arrives later than this after the stop was requested must have a response before
+/// the process is killed, even if its deadline is later.
 const STOP_NOTICE: Duration = Duration::from_millis(700);
-/// The supervisor starts a process again so long after it has ended.
+/// The supervisor starts a process again this long after it has ended.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// A dispatcher: its process, if one runs, and what outlives its processes.
+/// A dispatcher: its current process, if any, and the state that outlives processes.
 pub(super) struct Instance {
     pub core: Option<Core>,
-    /// Counts its processes.
+    /// The number of processes that were started.
     pub incarnation: u32,
     pub started_at: Timestamp,
     pub timer: Option<Timestamp>,
     pub call_schedule: CallSchedule,
     pub has_watch: bool,
-    /// How many watches this process has asked for. The last one counts.
+    /// How many watches this process has requested. Only the last one is in use.
     pub watches_requested: u32,
-    /// The version of the list that its processes were notified of last.
+    /// The version of the list that any of its processes was last notified of.
     pub list_version: usize,
-    /// The version that the agent beside it has.
+    /// The version of the list that its agent has.
     pub agent_version: usize,
-    /// This process has had a list from discovery.
+    /// Whether this process has received a list from discovery.
     pub has_list: bool,
     pub stop_requested_at: Option<Timestamp>,
     pub frontends_open: bool,
-    /// Clients are sent to it. A first process has to report that it is ready; a restarted one has
-    /// clients at once.
+    /// Whether clients are routed to it. The first process has to report that it is ready; a
+    /// restarted process receives clients at once.
     pub is_ready: bool,
-    /// How many connections of clients that wait for a response are open.
+    /// The number of open connections of clients that wait for a response.
     pub open_connections: usize,
-    /// From when on each idle connection is free, by endpoint.
+    /// The time from which each idle connection can be used, by endpoint.
     pub idle_connections: HashMap<usize, Vec<Timestamp>>,
 }
 
 impl Default for Instance {
-    /// Before its first process.
+    /// An instance before its first process.
     fn default() -> Instance {
         Instance {
             core: None,
@@ -118,8 +119,8 @@
         self.configure(self.current_incarnation(instance));
     }
 
-    /// A new process reads its bootstrap list, as its last process was notified of it, and its
-    /// configuration.
+    /// Delivers the bootstrap list and the configuration to a new process. The bootstrap list has
+    /// the last version that the previous process was notified of.
     fn configure(&mut self, incarnation: Incarnation) {
         let version = self.instances[incarnation.instance].list_version;
         let listed = (0..self.endpoints.len())
@@ -141,7 +142,7 @@
         self.deliver(incarnation, configured);
     }
 
-    /// Passes an event to a core and carries out the effects.
+    /// Passes an event to a core and executes the effects.
     pub fn deliver(&mut self, incarnation: Incarnation, event: Event) {
         if !self.is_current(incarnation) {
             return;
@@ -150,14 +151,14 @@
             return;
         };
         for effect in core.reduce(self.now, event) {
-            self.carry_out(incarnation, effect);
+            self.execute_effect(incarnation, effect);
         }
     }
 
-    /// An event that was on its way reaches its core.
+    /// Handles a scheduled event that reaches its core.
     pub fn event_delivered(&mut self, incarnation: Incarnation, event: Event) {
         match &event {
-            Event::AttemptEnded { attempt, .. } => self.forget_attempt(incarnation, *attempt),
+            Event::AttemptEnded { attempt, .. } => self.remove_attempt(incarnation, *attempt),
             Event::ClientDisconnected { handle } => self.client_disconnects(incarnation, *handle),
             _ => {}
         }
@@ -167,14 +168,14 @@
 
     pub fn timer_expires(&mut self, incarnation: Incarnation, at: Timestamp) {
         let is_set = self.instances[incarnation.instance].timer == Some(at);
-        if self.is_current(incarnation) && is_set && !self.timers_are_over() {
+        if self.is_current(incarnation) && is_set && !self.timers_have_ended() {
             self.instances[incarnation.instance].timer = None;
             self.deliver(incarnation, Event::TimerFired);
         }
     }
 
-    /// Reports closed frontends to a core that has asked for it, once no client waits. Clients keep
-    /// their connection open for as long as they wait.
+    /// Reports to a core that has closed its frontends that they are closed, once no client waits
+    /// for a response. Clients keep their connections open while they wait.
     pub fn close_frontends_if_unused(&mut self, incarnation: Incarnation) {
         let instance = &self.instances[incarnation.instance];
         let is_unused = !instance.frontends_open && instance.open_connections == 0;
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Asks a process to stop. The supervisor kills it if it takes too long.
+    /// Asks a process to stop, and schedules its kill in case it takes too long.
     pub fn request_stop(&mut self, instance: usize) {
         let incarnation = self.current_incarnation(instance);
         self.instances[instance].stop_requested_at = Some(self.now);
@@ -192,12 +193,12 @@
         self.schedule(STOP_TIMEOUT, SimulationEvent::StopForced(incarnation));
     }
 
-    /// A process exits by itself.
+    /// Handles the exit of a process. All its responses must have been sent.
     pub fn exit(&mut self, incarnation: Incarnation) {
         let outstanding = self.outstanding_responses(incarnation, |_| true);
         let instance = incarnation.instance;
         if outstanding > 0 {
-            self.violation(format!(
+            self.record_violation(format!(
                 "instance {instance} has exited with {outstanding} responses outstanding"
             ));
         }
@@ -211,7 +212,8 @@
         let instance = incarnation.instance;
         let now = self.now;
         let requested_at = self.instances[instance].stop_requested_at.unwrap_or(now);
-        // A job that takes longer than the stop is lost, unless it came when that was known.
+        // A request whose deadline is after the kill may be lost, unless it arrived after the
+        // notice: by then the process knew when it would be killed.
         let is_due = |open: &OpenRequest| {
             let class = &self.settings.classes[open.request.requirements.class];
             let arrived_after_notice = open.submitted_at > requested_at + STOP_NOTICE;
@@ -219,7 +221,7 @@
         };
         let outstanding = self.outstanding_responses(incarnation, is_due);
         if outstanding > 0 {
-            self.violation(format!(
+            self.record_violation(format!(
                 "instance {instance} was killed in its stop with {outstanding} responses outstanding"
             ));
         }
@@ -242,7 +244,7 @@
         self.schedule(RESTART_DELAY, SimulationEvent::InstanceStarts(instance));
     }
 
-    /// Ends a process with all that it has in flight.
+    /// Ends a process and aborts its attempts.
     pub fn kill_instance(&mut self, instance: usize) {
         let incarnation = self.current_incarnation(instance);
         let killed = &mut self.instances[instance];
@@ -256,7 +258,7 @@
         }
         let keys = self.attempts.keys().copied();
         let mut keys: Vec<_> = keys.filter(|key| key.incarnation == incarnation).collect();
-        // The map has no order of its own.
+        // The order of the hash map is not deterministic.
         keys.sort_unstable();
         for key in keys {
             self.abort_attempt(key);
--- a/crates/test-support/src/fleet/settings.rs
+++ b/crates/test-support/src/fleet/settings.rs
@@ -1,10 +1,10 @@
-//! The settings of the decisions, and the traits of machines and jobs, for each deployment.
+//! The settings of the balancer, and the machines and jobs, for each deployment.
 //!
-//! The arrival rate of clients follows from both: it is a fixed part of what all endpoints can
-//! serve once their slow start is over.
+//! The arrival rate of requests follows from both: it is a fixed share of the capacity of all
+//! endpoints after slow start.
 
 use super::plan::{Deployment, Plan};
-use super::workload::{JobTraits, MachineTraits, Workload};
+use super::workload::{JobSpec, MachineSpec, Workload};
 use super::{DRAIN_GRACE, micros_f64};
 use pumiceway_decisions::api::{
     Class, DeduplicationScope, Idempotency, KindId, LoadReportSource, Prices, Settings, Tenant,
@@ -12,15 +12,15 @@
 };
 use std::time::Duration;
 
-/// The part of the capacity of all endpoints that clients ask for.
+/// The share of the capacity of all endpoints that the usual traffic needs.
 const UTILIZATION: f64 = 0.6;
-/// The part of the usual traffic that comes from each tenant, where there are tenants.
+/// The share of each tenant in the usual traffic, in deployments with tenants.
 pub(super) const TENANT_TRAFFIC: [f64; 3] = [0.4, 0.4, 0.2];
-/// The part of its quota that each tenant usually uses.
+/// The share of its quota that each tenant uses in the usual traffic.
 pub(super) const QUOTA_USAGE: f64 = 0.8;
-/// Endpoints are spread over at most this many zones.
+/// The largest number of zones that endpoints are spread over.
 const MAX_ZONES: usize = 3;
-/// A second in the unit in which the mean time between requests is counted.
+/// A second, in the unit of [`mean_request_gap_us`].
 pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The settings of one instance of a plan.
@@ -99,8 +99,9 @@
         scope: DeduplicationScope::Zone,
         window: millis(7_500),
     };
-    let tenant = |traffic: f64| Tenant {
-        quota_per_second: traffic / QUOTA_USAGE * MICROS_PER_SECOND / mean_request_gap_us(plan),
+    let tenant = |traffic_share: f64| Tenant {
+        quota_per_second: traffic_share / QUOTA_USAGE * MICROS_PER_SECOND
+            / mean_request_gap_us(plan),
     };
     Settings {
         kind_count: 2,
@@ -133,11 +134,11 @@
 pub(super) fn workload(plan: Plan) -> Workload {
     match plan.deployment {
         Deployment::Polled => Workload {
-            machines: &[MachineTraits {
+            machines: &[MachineSpec {
                 slots: 4.0,
                 speed: 1.0,
             }],
-            jobs: const { &[job_traits(4, 150, 1.0), job_traits(1, 400, 2.0)] },
+            jobs: const { &[job_spec(4, 150, 1.0), job_spec(1, 400, 2.0)] },
             jobs_vary: false,
             report_interval: Duration::ZERO,
             drops_cancelled: true,
@@ -145,20 +146,20 @@
         },
         Deployment::Pushed => Workload {
             machines: &[
-                MachineTraits {
+                MachineSpec {
                     slots: 3.0,
                     speed: 1.5,
                 },
-                MachineTraits {
+                MachineSpec {
                     slots: 5.0,
                     speed: 0.95,
                 },
             ],
             jobs: const {
                 &[
-                    job_traits(46, 300, 1.0),
-                    job_traits(41, 1_200, 1.0),
-                    job_traits(13, 150, 1.0),
+                    job_spec(46, 300, 1.0),
+                    job_spec(41, 1_200, 1.0),
+                    job_spec(13, 150, 1.0),
                 ]
             },
             jobs_vary: true,
@@ -169,9 +170,9 @@
     }
 }
 
-const fn job_traits(parts: u32, mean_work_ms: u64, slots: f64) -> JobTraits {
-    JobTraits {
-        parts,
+const fn job_spec(frequency: u32, mean_work_ms: u64, slots: f64) -> JobSpec {
+    JobSpec {
+        frequency,
         mean_work: Duration::from_millis(mean_work_ms),
         slots,
     }
@@ -181,9 +182,10 @@
 pub(super) fn mean_request_gap_us(plan: Plan) -> f64 {
     let workload = workload(plan);
     let zones = plan.endpoints.min(MAX_ZONES);
-    let all_parts: u32 = workload.jobs.iter().map(|job| job.parts).sum();
-    let work_us = |job: &JobTraits| {
-        f64::from(job.parts) / f64::from(all_parts) * (micros_f64(job.mean_work) * job.slots)
+    let total_frequency: u32 = workload.jobs.iter().map(|job| job.frequency).sum();
+    let work_us = |job: &JobSpec| {
+        f64::from(job.frequency) / f64::from(total_frequency)
+            * (micros_f64(job.mean_work) * job.slots)
     };
     let capacity = |endpoint: usize| {
         let KindId(kind) = workload.kind(endpoint % zones, endpoint / zones);
--- a/crates/test-support/src/fleet/simulation.rs
+++ b/crates/test-support/src/fleet/simulation.rs
@@ -1,15 +1,15 @@
-//! The state of a simulation and its main loop, which hands each event of the agenda to the module
-//! that models it.
+//! The state of a simulation and its main loop, which dispatches each event to the module that
+//! models it.
 
-use super::agenda::{Agenda, AttemptKey, Incarnation, SimulationEvent};
 use super::attempts::{AttemptInFlight, JobHistory};
 use super::clients::{OpenRequest, QuotaBalance};
 use super::endpoint::{Placement, SimulatedEndpoint};
 use super::endpoint_list::ListChange;
+use super::event_queue::{AttemptKey, EventQueue, Incarnation, SimulationEvent};
 use super::instances::Instance;
-use super::plan::{DAY_LENGTH, DAY_START, FAULTS_BEGIN, Plan};
+use super::plan::{DISRUPTION_DELAY, Plan, SIMULATION_START, TRAFFIC_DURATION};
 use super::settings::{settings, workload};
-use super::summary::{Service, SlowStartSend, Summary};
+use super::summary::{SlowStartSend, Summary, WeightTotals};
 use super::workload::Workload;
 use fastrand::Rng;
 use pumiceway_core::RequestHandle;
@@ -18,20 +18,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long after the longest deadline the last timers still fire.
-const TIMERS_END: Duration = Duration::from_secs(5);
+/// Timers still fire for this long after the last deadline.
+const TIMER_PERIOD_AFTER_DEADLINES: Duration = Duration::from_secs(5);
 
 pub(super) struct Simulation {
     pub plan: Plan,
-    /// What is the same for all instances.
+    /// The settings of the first instance. Code that uses them reads only what all instances share.
     pub settings: Settings,
     pub workload: Arc<Workload>,
     pub rng: Rng,
     pub now: Timestamp,
-    pub agenda: Agenda,
+    pub event_queue: EventQueue,
     pub instances: Vec<Instance>,
     pub endpoints: Vec<SimulatedEndpoint>,
-    /// The history of the endpoint list: version `n` has the first `n` changes.
+    /// The history of the endpoint list: version `n` includes the first `n` changes.
     pub changes: Vec<ListChange>,
     pub requests: HashMap<RequestHandle, OpenRequest>,
     pub attempts: HashMap<AttemptKey, AttemptInFlight>,
@@ -39,10 +39,10 @@
     /// By tenant.
     pub quotas: Vec<QuotaBalance>,
     pub flood_ends_at: Timestamp,
-    /// When discovery has worked through all calls so far.
+    /// When the discovery service will have served all calls that it has received.
     pub discovery_free_at: Timestamp,
     pub discovery_calls: Vec<Timestamp>,
-    /// What was sent to each endpoint during its slow start.
+    /// The work that was sent to each endpoint during its slow start.
     pub slow_start_sends: BTreeMap<usize, Vec<SlowStartSend>>,
     pub summary: Summary,
 }
@@ -54,8 +54,8 @@
         let mut simulation = Simulation {
             plan,
             rng: Rng::with_seed(plan.seed),
-            now: DAY_START,
-            agenda: Agenda::default(),
+            now: SIMULATION_START,
+            event_queue: EventQueue::default(),
             instances: Vec::new(),
             endpoints: initial_endpoints(plan, &settings, &workload),
             changes: Vec::new(),
@@ -68,8 +68,8 @@
             discovery_calls: Vec::new(),
             slow_start_sends: BTreeMap::new(),
             summary: Summary {
-                service_by_class: vec![Service::default(); settings.classes.len()],
-                service_by_tenant: vec![Service::default(); settings.tenants.len()],
+                weights_by_class: vec![WeightTotals::default(); settings.classes.len()],
+                weights_by_tenant: vec![WeightTotals::default(); settings.tenants.len()],
                 ..Summary::default()
             },
             settings,
@@ -80,13 +80,13 @@
             simulation.start_instance(instance);
         }
         simulation.schedule(Duration::ZERO, SimulationEvent::ClientArrives);
-        simulation.schedule(FAULTS_BEGIN, SimulationEvent::DayStep(0));
+        simulation.schedule(DISRUPTION_DELAY, SimulationEvent::DisruptionStep(0));
         simulation
     }
 
-    /// Handles events until none is left.
+    /// Handles events until none are left.
     pub fn run(&mut self) {
-        while let Some((at, event)) = self.agenda.pop() {
+        while let Some((at, event)) = self.event_queue.pop() {
             self.now = at;
             self.handle(event);
         }
@@ -112,7 +112,7 @@
             SimulationEvent::ListReachesAgent { instance, version } => {
                 self.list_reaches_agent(instance, version);
             }
-            SimulationEvent::DayStep(step) => self.day_step(step),
+            SimulationEvent::DisruptionStep(step) => self.disruption_step(step),
             SimulationEvent::InstanceStarts(instance) => {
                 if self.instances[instance].core.is_none() {
                     self.start_instance(instance);
@@ -123,18 +123,19 @@
     }
 
     pub fn schedule(&mut self, delay: Duration, event: SimulationEvent) {
-        self.agenda.schedule(self.now + delay, event);
+        self.event_queue.schedule(self.now + delay, event);
     }
 
-    pub fn day_is_over(&self) -> bool {
-        self.now >= DAY_START + DAY_LENGTH
+    pub fn traffic_has_ended(&self) -> bool {
+        self.now >= SIMULATION_START + TRAFFIC_DURATION
     }
 
-    /// Whether all requests have ended. The cores would set timers for ever.
-    pub fn timers_are_over(&self) -> bool {
+    /// Whether timers no longer fire, as all requests have ended. The simulation would not end
+    /// otherwise, since cores always set another timer.
+    pub fn timers_have_ended(&self) -> bool {
         let deadlines = self.settings.classes.iter().map(|class| class.deadline);
         let longest = deadlines.max().unwrap_or(Duration::ZERO);
-        self.now > DAY_START + DAY_LENGTH + longest + TIMERS_END
+        self.now > SIMULATION_START + TRAFFIC_DURATION + longest + TIMER_PERIOD_AFTER_DEADLINES
     }
 
     pub fn is_current(&self, incarnation: Incarnation) -> bool {
@@ -142,9 +143,12 @@
         instance.incarnation == incarnation.number && instance.core.is_some()
     }
 
-    /// Notes that a rule was violated.
-    pub fn violation(&mut self, description: String) {
-        let at = self.now.saturating_duration_since(DAY_START).as_millis();
+    /// Records a rule violation with the current time.
+    pub fn record_violation(&mut self, description: String) {
+        let at = self
+            .now
+            .saturating_duration_since(SIMULATION_START)
+            .as_millis();
         self.summary
             .violations
             .push(format!("{at} ms: {description}"));
--- a/crates/test-support/src/fleet/summary.rs
+++ b/crates/test-support/src/fleet/summary.rs
@@ -1,4 +1,4 @@
-//! What is counted over the fleet, and the violated rules.
+//! The result of a simulation: totals over the fleet, and rule violations.
 
 use super::endpoint::SimulatedEndpoint;
 use super::micros_f64;
@@ -6,28 +6,30 @@
 use pumiceway_decisions::api::{Settings, Timestamp};
 use std::time::Duration;
 
-/// What is sent to an endpoint in slow start counts only where so many parts of all parts of it, at
-/// least, come from instances that know of the start.
-const MIN_KNOWING_PARTS: f64 = 2.0;
-const ALL_PARTS: f64 = 3.0;
-/// The window in which calls to discovery are counted.
+/// The load of an endpoint in slow start counts only if at least this share of it (two thirds) was
+/// sent by instances that were notified of the start.
+const MIN_NOTIFIED_NUMERATOR: f64 = 2.0;
+const MIN_NOTIFIED_DENOMINATOR: f64 = 3.0;
+/// The window over which calls to discovery are counted.
 const CALL_WINDOW: Duration = Duration::from_secs(1);
 
-/// Priority weight that was served within the latency objective, and that was asked for.
+/// Totals of priority weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Service {
-    pub earned_weight: f64,
-    pub requested_weight: f64,
+pub struct WeightTotals {
+    /// The weight of requests that were served within the latency objective.
+    pub earned: f64,
+    /// The weight of all requests.
+    pub requested: f64,
 }
 
-/// What was counted over the fleet.
+/// The result of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// Requests that reached an instance, each retry of a client among them.
+    /// Requests that reached an instance, including retries.
     pub requests: usize,
     /// Requests that were served.
     pub served: usize,
-    /// Requests that had an overload response.
+    /// Requests that received an overload response.
     pub overloaded: usize,
     /// Requests that failed.
     pub failed: usize,
@@ -37,22 +39,22 @@
     pub connections: usize,
     /// Jobs that were resumed after an endpoint had suspended them.
     pub resumed_jobs: usize,
-    /// The most work that an endpoint in slow start was sent within a window, as a share of what
-    /// overloads it.
+    /// The most work that was sent to an endpoint in slow start within an overload window, as a
+    /// share of the work that overloads the endpoint.
     pub peak_slow_start_load: f64,
-    /// Calls to discovery in the second with the most calls.
+    /// The largest number of calls to discovery within a second.
     pub peak_discovery_calls: usize,
-    /// The longest time until a process had its first list.
+    /// The longest time until a process received its first list.
     pub max_first_list_delay: Duration,
     /// The longest time until an instance with a list was notified of a change.
     pub max_change_delay: Duration,
-    /// All requests. The retries of a client count as one.
-    pub service: Service,
-    /// The same by class.
-    pub service_by_class: Vec<Service>,
-    /// The same by tenant, for requests within its quota.
-    pub service_by_tenant: Vec<Service>,
-    /// Violated rules, each with its time.
+    /// The weights of all requests. A request and its retries count once.
+    pub weights: WeightTotals,
+    /// The weights by class.
+    pub weights_by_class: Vec<WeightTotals>,
+    /// The weights by tenant, of requests within the tenant's quota.
+    pub weights_by_tenant: Vec<WeightTotals>,
+    /// Rule violations, each with its time.
     pub violations: Vec<String>,
 }
 
@@ -60,13 +62,17 @@
 pub(super) struct SlowStartSend {
     pub at: Timestamp,
     pub work_us: f64,
-    /// The instance was notified of the start.
-    pub knows_start: bool,
+    /// Whether the sending instance was notified of the start.
+    pub sender_notified: bool,
 }
 
 impl SlowStartSend {
-    fn knowing_work_us(&self) -> f64 {
-        if self.knows_start { self.work_us } else { 0.0 }
+    fn notified_work_us(&self) -> f64 {
+        if self.sender_notified {
+            self.work_us
+        } else {
+            0.0
+        }
     }
 }
 
@@ -82,22 +88,23 @@
     }
 }
 
-/// The most work of a window, as a share of what overloads an endpoint in the middle of it.
+/// The most work within a window, as a share of the work that overloads the endpoint at its
+/// capacity in the middle of the window.
 fn peak_load(endpoint: &SimulatedEndpoint, sends: &[SlowStartSend], settings: &Settings) -> f64 {
     let window = settings.overload_window;
     let mut first = 0;
     let mut work_us = 0.0;
-    let mut knowing_work_us = 0.0;
+    let mut notified_work_us = 0.0;
     let mut peak: f64 = 0.0;
     for send in sends {
         work_us += send.work_us;
-        knowing_work_us += send.knowing_work_us();
+        notified_work_us += send.notified_work_us();
         while sends[first].at + window <= send.at {
             work_us -= sends[first].work_us;
-            knowing_work_us -= sends[first].knowing_work_us();
+            notified_work_us -= sends[first].notified_work_us();
             first += 1;
         }
-        if knowing_work_us < work_us * MIN_KNOWING_PARTS / ALL_PARTS {
+        if notified_work_us < work_us * MIN_NOTIFIED_NUMERATOR / MIN_NOTIFIED_DENOMINATOR {
             continue;
         }
         let middle = send.at.saturating_sub(window / 2).max(endpoint.ready_at);
@@ -109,7 +116,7 @@
     peak
 }
 
-/// The most calls in any second. The calls are in order.
+/// The largest number of calls within a second. The calls are sorted.
 fn peak_calls(calls: &[Timestamp]) -> usize {
     let calls_from = |from: &Timestamp| {
         let window = *from..*from + CALL_WINDOW;
--- a/crates/test-support/src/fleet/workload.rs
+++ b/crates/test-support/src/fleet/workload.rs
@@ -8,52 +8,52 @@
 use std::time::Duration;
 
 /// One kind of machine.
-pub(super) struct MachineTraits {
-    /// How many slots it has; it has as many units of memory.
+pub(super) struct MachineSpec {
+    /// The number of slots, and of units of memory.
     pub slots: f64,
-    /// How much work it does in a slot, beside a machine of speed 1.
+    /// The work per slot and unit of time, relative to a machine of speed 1.
     pub speed: f64,
 }
 
-impl MachineTraits {
-    /// The work that it does per unit of time when its slow start is over.
+impl MachineSpec {
+    /// The work per unit of time after slow start.
     pub fn capacity(&self) -> f64 {
         self.slots * self.speed
     }
 }
 
 /// The jobs of one class.
-pub(super) struct JobTraits {
-    /// How many parts of all jobs are of this class.
-    pub parts: u32,
-    /// The mean time that one takes in its slots on a machine of speed 1.
+pub(super) struct JobSpec {
+    /// The frequency of this class relative to the other classes.
+    pub frequency: u32,
+    /// The mean duration of a job on a machine of speed 1.
     pub mean_work: Duration,
-    /// How many slots each takes.
+    /// The number of slots that each job occupies.
     pub slots: f64,
 }
 
 /// The machines and jobs of a deployment.
 pub(super) struct Workload {
     /// By machine kind.
-    pub machines: &'static [MachineTraits],
+    pub machines: &'static [MachineSpec],
     /// By class.
-    pub jobs: &'static [JobTraits],
-    /// Jobs of a class differ in length, and need memory.
+    pub jobs: &'static [JobSpec],
+    /// Whether jobs of a class differ in duration and need memory.
     pub jobs_vary: bool,
-    /// How old load reports may be, which then count what is queued; zero for reports of the
-    /// present CPU utilization.
+    /// How often the load report is updated; it then includes queued jobs. If zero, each report
+    /// shows the current CPU utilization instead.
     pub report_interval: Duration,
-    /// A queued job that is cancelled does not run any more.
+    /// Whether a cancelled job is removed from the queue.
     pub drops_cancelled: bool,
-    /// A job may suspend an idempotent one of lower priority.
+    /// Whether a job may suspend an idempotent job of lower priority.
     pub suspends: bool,
 }
 
-/// What a job needs, and how endpoints treat it.
+/// The resources that a job needs, and the properties by which endpoints schedule it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Requirements {
     pub class: usize,
-    /// The time that it takes in its slots on a machine of speed 1, in microseconds.
+    /// The duration on a machine of speed 1, in microseconds.
     pub work_us: f64,
     pub slots: f64,
     pub memory: f64,
@@ -62,10 +62,10 @@
 }
 
 impl Workload {
-    /// Draws a job.
+    /// Draws the requirements of a job.
     pub fn draw(&self, settings: &Settings, rng: &mut Rng) -> Requirements {
         let class = self.draw_class(rng);
-        let JobTraits {
+        let JobSpec {
             mean_work, slots, ..
         } = self.jobs[class];
         let mut work_us = micros_f64(mean_work);
@@ -85,11 +85,11 @@
     }
 
     fn draw_class(&self, rng: &mut Rng) -> usize {
-        let all_parts: u32 = self.jobs.iter().map(|job| job.parts).sum();
-        let mut part = rng.u32(..all_parts);
+        let total_frequency: u32 = self.jobs.iter().map(|job| job.frequency).sum();
+        let mut draw = rng.u32(..total_frequency);
         let mut class = self.jobs.len() - 1;
-        while part >= self.jobs[class].parts {
-            part -= self.jobs[class].parts;
+        while draw >= self.jobs[class].frequency {
+            draw -= self.jobs[class].frequency;
             class -= 1;
         }
         class
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the tests of all crates share.
+//! Support for the tests of all crates.
 //!
-//! [`scenario`] is a small language for exchanges with a dispatcher on loopback, and [`Peer`] one
-//! side of a connection in them. [`fleet`] simulates a whole fleet in one process, and
-//! [`processes`] plays faults over real processes.
+//! [`scenario`] is a small language for message exchanges with a dispatcher on loopback, and
+//! [`Peer`] is one side of a connection in them. [`fleet`] simulates a whole fleet in one process,
+//! and [`processes`] injects faults into a fleet of real processes.
 
 pub mod fleet;
 mod gearman;
--- a/crates/test-support/tests/fleet.rs
+++ b/crates/test-support/tests/fleet.rs
@@ -1,18 +1,19 @@
-//! The rules over whole fleets, small and large, for each deployment and day. `SOAK` plays more
-//! seeds.
+//! Checks the rules over whole fleets, small and large, for each deployment and disruption. If
+//! `SOAK` is set, more seeds are simulated.
 
 use pumiceway_test_support::fleet::*;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// An instance spreads its first call to discovery over this time for each instance of the fleet.
+/// Instances spread their first calls to discovery over this time, multiplied by the number of
+/// instances.
 const CALL_SPREAD_EACH: Duration = Duration::from_millis(50);
-/// Calls of a fleet are spread over a second at least.
+/// The calls of a fleet are spread over at least this time.
 const MIN_CALL_SPREAD: Duration = Duration::from_secs(1);
 
-/// Plays all plans, as many at a time as there are cores. Returns them sorted by plan.
-fn play_all(plans: Vec<Plan>) -> Vec<(Plan, Summary)> {
+/// Simulates all plans, as many in parallel as there are CPU cores. Returns them sorted by plan.
+fn simulate_all(plans: Vec<Plan>) -> Vec<(Plan, Summary)> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
@@ -20,7 +21,7 @@
         for _ in 0..cores.min(plans.len()) {
             scope.spawn(|| {
                 while let Some(&plan) = plans.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let summary = play(plan);
+                    let summary = simulate(plan);
                     results.lock().unwrap().push((plan, summary));
                 }
             });
@@ -31,43 +32,43 @@
     results
 }
 
-fn polled(instances: usize, endpoints: usize, day: Day) -> Plan {
+fn polled(instances: usize, endpoints: usize, disruption: Disruption) -> Plan {
     Plan {
         deployment: Deployment::Polled,
         instances,
         endpoints,
-        day,
+        disruption,
         seed: 1,
         injected_fault: None,
     }
 }
 
-fn pushed(instances: usize, endpoints: usize, day: Day) -> Plan {
+fn pushed(instances: usize, endpoints: usize, disruption: Disruption) -> Plan {
     Plan {
         deployment: Deployment::Pushed,
-        ..polled(instances, endpoints, day)
+        ..polled(instances, endpoints, disruption)
     }
 }
 
-fn with_fault(fault: InjectedFault, day: Day) -> Summary {
-    play(Plan {
+fn with_fault(fault: InjectedFault, disruption: Disruption) -> Summary {
+    simulate(Plan {
         injected_fault: Some(fault),
-        ..polled(30, 20, day)
+        ..polled(30, 20, disruption)
     })
 }
 
-/// Asserts what the settings of a plan allow: each assertion is a rule, or what keeps one.
+/// Asserts the rules, and the limits that follow from the settings of a plan.
 fn assert_rules_hold(plan: Plan, summary: &Summary) {
     let is_polled = plan.deployment == Deployment::Polled;
     let context = format!("{plan:?}: {summary:?}");
     assert!(summary.violations.is_empty(), "{context}");
-    // Where jobs differ in length a few long ones may come together.
+    // If jobs differ in duration, a few long ones may coincide.
     let tolerance = if is_polled { 0.0 } else { 0.15 };
     assert!(
         summary.peak_slow_start_load <= 1.0 + tolerance,
         "an endpoint is overloaded in its slow start: {context}"
     );
-    // Where lists are pushed, an instance counts as notified of what its agent has from the start.
+    // With pushed lists, a new process counts as notified at once of the list that its agent has.
     let first_list_limit = if is_polled {
         NOTIFICATION_LIMIT
     } else {
@@ -78,7 +79,7 @@
             && summary.max_change_delay <= NOTIFICATION_LIMIT,
         "{context}"
     );
-    // Where lists are pushed each instance calls an agent of its own, at no cost to the others.
+    // With pushed lists, each instance calls its own agent, which does not load the others.
     assert!(
         !is_polled || (summary.peak_discovery_calls as f64) <= max_calls_per_second(plan),
         "{context}"
@@ -94,25 +95,26 @@
     );
 }
 
-/// Instances draw their first calls from 50 ms for each, or half of the longest poll interval if
-/// that is less. What comes together by chance is on top.
+/// Instances spread their first calls over 50 ms for each instance, or over half of the longest
+/// poll interval if that is less. The limit leaves room for calls that coincide by chance.
 fn max_calls_per_second(plan: Plan) -> f64 {
     let spread = (CALL_SPREAD_EACH * plan.instances.max(2) as u32)
         .min(settings(plan, 0).max_poll_interval / 2)
         .max(MIN_CALL_SPREAD);
     let mut mean = plan.instances as f64 * 1e6 / spread.as_micros() as f64;
-    // A new configuration reaches an eighth of them a second, which call within another.
-    if plan.day == Day::DiscoveryMoved {
+    // A new configuration reaches an eighth of the instances per second, and they call within the
+    // next second.
+    if plan.disruption == Disruption::DiscoveryMoved {
         mean += plan.instances as f64 / 8.0;
     }
     mean + 5.0 * mean.sqrt() + 1.0
 }
 
-/// Two health checks for a request, and eight saved up in each process of an instance. Where
-/// endpoints outnumber the instances they are checked in turn as well, each at first and one for
-/// each request, in that proportion.
+/// Two health checks for each request, and eight that each process of an instance may make in
+/// advance. If there are more endpoints than instances, endpoints are also checked in turn: each of
+/// them at the start, and one for each request, scaled by how much they outnumber the instances.
 fn max_health_checks(plan: Plan, summary: &Summary) -> f64 {
-    let endpoints = if plan.day == Day::EndpointsAdded {
+    let endpoints = if plan.disruption == Disruption::EndpointsAdded {
         2 * plan.endpoints
     } else {
         plan.endpoints
@@ -120,12 +122,12 @@
     let in_turn = (1.5 - 1.5 * plan.instances as f64 / endpoints as f64).clamp(0.0, 1.0);
     let per_request = 2.0 + in_turn;
     let at_start = 2 * plan.instances * (8 + (in_turn * endpoints as f64) as usize);
-    // Checks of suspected endpoints are on top: less than a tenth, as measured over seeds.
+    // Checks of suspected endpoints add less than a tenth, as measured over several seeds.
     1.1 * per_request * summary.requests as f64 + at_start as f64
 }
 
 #[test]
-fn the_rules_hold_on_every_day_at_every_size() {
+fn the_rules_hold_under_every_disruption_at_every_size() {
     let sizes = [
         (1, 10),
         (3, 10),
@@ -138,23 +140,31 @@
     let soak = std::env::var_os("SOAK").is_some();
     let seeds = if soak { 1..=12 } else { 1..=1 };
     let polled_plans = sizes.iter().flat_map(|&(instances, endpoints)| {
-        days(Deployment::Polled).map(move |day| polled(instances, endpoints, day))
+        disruptions(Deployment::Polled)
+            .map(move |disruption| polled(instances, endpoints, disruption))
     });
-    // Between the small and the large fleet, those days on which the list changes most.
-    let changing = [Day::EndpointsReplaced, Day::ZoneLost, Day::EndpointsAdded];
+    // For the size between the small and the large fleets, only the disruptions that change the
+    // list most.
+    let changing = [
+        Disruption::EndpointsReplaced,
+        Disruption::ZoneLost,
+        Disruption::EndpointsAdded,
+    ];
     let polled_plans = polled_plans.filter(|plan| {
-        soak || (plan.instances, plan.endpoints) != (100, 200) || changing.contains(&plan.day)
+        soak || (plan.instances, plan.endpoints) != (100, 200)
+            || changing.contains(&plan.disruption)
     });
     let sizes = [(1, 3), (3, 3), (3, 9), (3, 13), (8, 13), (60, 13)];
     let pushed_plans = sizes.iter().flat_map(|&(instances, endpoints)| {
-        days(Deployment::Pushed).map(move |day| pushed(instances, endpoints, day))
+        disruptions(Deployment::Pushed)
+            .map(move |disruption| pushed(instances, endpoints, disruption))
     });
     let plans = polled_plans
         .chain(pushed_plans)
         .flat_map(|plan| seeds.clone().map(move |seed| Plan { seed, ..plan }))
         .collect();
     let mut resumed_jobs = 0;
-    for (plan, summary) in play_all(plans) {
+    for (plan, summary) in simulate_all(plans) {
         assert_rules_hold(plan, &summary);
         resumed_jobs += summary.resumed_jobs;
     }
@@ -165,43 +175,43 @@
 }
 
 fn others_requested(summary: &Summary) -> f64 {
-    let others = summary.service_by_tenant[1..].iter();
-    others.map(|service| service.requested_weight).sum()
+    let others = summary.weights_by_tenant[1..].iter();
+    others.map(|weights| weights.requested).sum()
 }
 
 fn others_earned(summary: &Summary) -> f64 {
-    let others = summary.service_by_tenant[1..].iter();
-    others.map(|service| service.earned_weight).sum()
+    let others = summary.weights_by_tenant[1..].iter();
+    others.map(|weights| weights.earned).sum()
 }
 
 fn requests(summary: &Summary) -> f64 {
     summary.requests as f64
 }
 
-fn sum(plays: &[(Plan, Summary)], part: fn(&Summary) -> f64) -> f64 {
-    plays.iter().map(|(_, summary)| part(summary)).sum()
+fn sum(runs: &[(Plan, Summary)], value: fn(&Summary) -> f64) -> f64 {
+    runs.iter().map(|(_, summary)| value(summary)).sum()
 }
 
 #[test]
-fn a_flood_of_one_tenant_leaves_the_others_what_they_have_on_a_calm_day() {
-    // Each of eight sees so little of a tenant that it takes some of what is within a quota for
-    // more.
+fn a_flood_of_one_tenant_does_not_reduce_the_service_of_the_others() {
+    // Each of eight instances receives so little traffic of a tenant that it takes some requests
+    // within the quota for requests over it.
     for (instances, endpoints, tolerance) in [(3, 13, 0.1), (8, 13, 0.25)] {
-        let [calm, flood] = [Day::Calm, Day::TenantFlood].map(|day| {
+        let [undisturbed, flood] = [Disruption::None, Disruption::TenantFlood].map(|disruption| {
             let seeds = (1..=4).map(|seed| Plan {
                 seed,
-                ..pushed(instances, endpoints, day)
+                ..pushed(instances, endpoints, disruption)
             });
-            play_all(seeds.collect())
+            simulate_all(seeds.collect())
         });
         assert!(
-            sum(&flood, requests) > 2.0 * sum(&calm, requests),
+            sum(&flood, requests) > 2.0 * sum(&undisturbed, requests),
             "{flood:?}"
         );
-        let within_quota = sum(&flood, others_requested) / sum(&calm, others_requested);
-        assert!((0.85..1.15).contains(&within_quota), "{within_quota}");
-        let service =
-            [&calm, &flood].map(|plays| sum(plays, others_earned) / sum(plays, others_requested));
+        let requested_ratio = sum(&flood, others_requested) / sum(&undisturbed, others_requested);
+        assert!((0.85..1.15).contains(&requested_ratio), "{requested_ratio}");
+        let service = [&undisturbed, &flood]
+            .map(|runs| sum(runs, others_earned) / sum(runs, others_requested));
         assert!(
             service[1] > service[0] - tolerance,
             "{instances} {endpoints}: {service:?}"
@@ -212,52 +222,59 @@
 #[test]
 fn equal_plans_have_equal_outcomes() {
     for plan in [
-        polled(30, 20, Day::InstancesKilled),
-        polled(30, 20, Day::ImpatientClients),
-        pushed(3, 13, Day::ImpatientClients),
+        polled(30, 20, Disruption::InstancesKilled),
+        polled(30, 20, Disruption::ImpatientClients),
+        pushed(3, 13, Disruption::ImpatientClients),
     ] {
-        assert_eq!(play(plan), play(plan));
+        assert_eq!(simulate(plan), simulate(plan));
     }
 }
 
 #[test]
-fn nothing_jumps_where_instances_outnumber_endpoints() {
-    let play_sizes = |sizes: [usize; 3], day| {
+fn results_are_continuous_where_instances_outnumber_endpoints() {
+    let simulate_sizes = |sizes: [usize; 3], disruption| {
         let plans = sizes.iter().flat_map(|&instances| {
             (1..=3).map(move |seed| Plan {
                 seed,
-                ..polled(instances, 60, day)
+                ..polled(instances, 60, disruption)
             })
         });
-        play_all(plans.collect())
+        simulate_all(plans.collect())
     };
-    for day in [Day::Calm, Day::EndpointsReplaced, Day::EndpointsAdded] {
-        let sides = [play_sizes([54, 57, 60], day), play_sizes([61, 64, 67], day)];
-        let shares = sides.each_ref().map(|plays| {
-            let served: usize = plays.iter().map(|(_, summary)| summary.served).sum();
-            let requests: usize = plays.iter().map(|(_, summary)| summary.requests).sum();
+    for disruption in [
+        Disruption::None,
+        Disruption::EndpointsReplaced,
+        Disruption::EndpointsAdded,
+    ] {
+        let sides = [
+            simulate_sizes([54, 57, 60], disruption),
+            simulate_sizes([61, 64, 67], disruption),
+        ];
+        let shares = sides.each_ref().map(|runs| {
+            let served: usize = runs.iter().map(|(_, summary)| summary.served).sum();
+            let requests: usize = runs.iter().map(|(_, summary)| summary.requests).sum();
             served as f64 / requests as f64
         });
         assert!(
             (shares[0] - shares[1]).abs() < 0.01 && shares[0] > 0.97,
-            "{day:?}: {shares:?}"
+            "{disruption:?}: {shares:?}"
         );
-        // Rounds of health checks that begin in full where the fleet counts as large take more than
-        // the two that a request is allowed.
-        let plays = sides.iter().flatten();
-        let health_checks: Vec<f64> = plays
+        // If the rounds of health checks began in full at the size at which the fleet counts as
+        // large, they would exceed the two health checks that are allowed for each request.
+        let runs = sides.iter().flatten();
+        let health_checks: Vec<f64> = runs
             .map(|(_, summary)| summary.health_checks as f64 / summary.requests as f64)
             .collect();
         assert!(
             health_checks.iter().all(|&per_request| per_request < 2.0),
-            "{day:?}: {health_checks:?}"
+            "{disruption:?}: {health_checks:?}"
         );
     }
 }
 
 #[test]
-fn a_list_that_grows_past_the_instances_in_mid_day_costs_no_round_of_health_checks() {
-    let summary = play(polled(300, 200, Day::EndpointsAdded));
+fn a_list_that_grows_past_the_instances_costs_no_round_of_health_checks() {
+    let summary = simulate(polled(300, 200, Disruption::EndpointsAdded));
     assert!(
         summary.health_checks < 2 * summary.requests && summary.connections < 2 * summary.requests,
         "{summary:?}"
@@ -269,44 +286,44 @@
     violations.any(|violation| violation.contains(text))
 }
 
-// One injected fault for each rule shows that the summary looks at what it counts.
+// One injected fault for each rule shows that the summary detects violations of the rule.
 #[test]
 fn injected_faults_are_found() {
-    let delayed = with_fault(InjectedFault::ListDelayed, Day::EndpointsReplaced);
+    let delayed = with_fault(InjectedFault::ListDelayed, Disruption::EndpointsReplaced);
     assert!(
         found(&delayed, "after it was notified that it leaves"),
         "{delayed:?}"
     );
-    let omitted = play(Plan {
+    let omitted = simulate(Plan {
         injected_fault: Some(InjectedFault::StartTimeOmitted),
-        ..polled(20, 20, Day::EndpointsReplaced)
+        ..polled(20, 20, Disruption::EndpointsReplaced)
     });
     assert!(omitted.peak_slow_start_load > 1.0, "{omitted:?}");
-    let timer = play(Plan {
+    let timer = simulate(Plan {
         injected_fault: Some(InjectedFault::TimerLost),
-        ..polled(3, 10, Day::EndpointsSilent)
+        ..polled(3, 10, Disruption::EndpointsSilent)
     });
     assert!(found(&timer, "in time"), "{timer:?}");
-    let repeated = with_fault(InjectedFault::ResponseRepeated, Day::Calm);
+    let repeated = with_fault(InjectedFault::ResponseRepeated, Disruption::None);
     assert!(found(&repeated, "a second response"), "{repeated:?}");
     let reset = with_fault(
         InjectedFault::ResetReportedAsConnectFailed,
-        Day::ImpatientClients,
+        Disruption::ImpatientClients,
     );
     assert!(found(&reset, "may have run"), "{reset:?}");
-    let early = with_fault(InjectedFault::EarlyExit, Day::RollingRestart);
+    let early = with_fault(InjectedFault::EarlyExit, Disruption::RollingRestart);
     assert!(found(&early, "responses outstanding"), "{early:?}");
-    let slow = play(Plan {
+    let slow = simulate(Plan {
         injected_fault: Some(InjectedFault::DiscoveryCallsSlow),
-        ..polled(300, 20, Day::InstancesKilled)
+        ..polled(300, 20, Disruption::InstancesKilled)
     });
     assert!(slow.max_first_list_delay > NOTIFICATION_LIMIT, "{slow:?}");
-    let bootstrap = play_all(
+    let bootstrap = simulate_all(
         (1..=4)
             .map(|seed| Plan {
                 seed,
                 injected_fault: Some(InjectedFault::BootstrapConfirmed),
-                ..polled(30, 20, Day::InstancesKilledBeforeDrain)
+                ..polled(30, 20, Disruption::InstancesKilledBeforeDrain)
             })
             .collect(),
     );
@@ -317,15 +334,15 @@
     );
 }
 
-// The rules that only the pushed deployment has, and those that it words in its own way.
+// The rules that only the pushed deployment has, and those that differ there.
 #[test]
 fn injected_faults_of_the_pushed_deployment_are_found() {
-    let reset = play_all(
+    let reset = simulate_all(
         (1..=6)
             .map(|seed| Plan {
                 seed,
                 injected_fault: Some(InjectedFault::ResetReportedAsConnectFailed),
-                ..pushed(60, 13, Day::ImpatientClients)
+                ..pushed(60, 13, Disruption::ImpatientClients)
             })
             .collect(),
     );
@@ -334,17 +351,17 @@
         reset.iter().any(|(_, summary)| found(summary, zone)),
         "{reset:?}"
     );
-    let overloaded = play(Plan {
+    let overloaded = simulate(Plan {
         injected_fault: Some(InjectedFault::FailureSentAsOverloaded),
-        ..pushed(3, 13, Day::ImpatientClients)
+        ..pushed(3, 13, Disruption::ImpatientClients)
     });
     assert!(
         found(&overloaded, "has an overload response, and may have run"),
         "{overloaded:?}"
     );
-    let delayed = play(Plan {
+    let delayed = simulate(Plan {
         injected_fault: Some(InjectedFault::ListDelayed),
-        ..pushed(3, 13, Day::EndpointsReplaced)
+        ..pushed(3, 13, Disruption::EndpointsReplaced)
     });
     assert!(
         found(&delayed, "after it was notified that it leaves"),
