--- a/crates/pumiceway/tests/faults.rs
+++ b/crates/pumiceway/tests/faults.rs
@@ -1,6 +1,7 @@
-//! Random, overlapping faults over real dispatcher processes. Each play is reproducible by its
-//! seed; `FAULT_SEEDS` names further seeds, as in `11..31`, and `FAULT_PROGRAM` another build of
-//! the program.
+//! Checks the invariants of real dispatcher processes under random, overlapping faults.
+//!
+//! The seed of a run determines its faults. `FAULT_SEEDS` sets further seeds, such as `11..31`, and
+//! `FAULT_PROGRAM` another build of the program.
 
 mod common;
 
@@ -12,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The size of a play: dispatchers, workers, clients and duration.
+/// The size of a run.
 struct Size {
     dispatchers: usize,
     workers: usize,
@@ -33,101 +34,107 @@
     duration: Duration::from_secs(24),
 };
 
-/// A new process reports that it is ready within this time.
+/// At the end of a run, each process reports within this time that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn play(seed: u64, size: &Size) -> RuleReport {
+fn run(seed: u64, size: &Size) -> RuleReport {
     let lists = Conditions::draw(seed).lists;
-    let schedule = faults::draw(seed, size.duration, size.dispatchers, size.workers, lists);
-    play_schedule(seed, size, &schedule)
+    let schedule =
+        faults::draw_schedule(seed, size.duration, size.dispatchers, size.workers, lists);
+    run_schedule(seed, size, &schedule)
 }
 
-fn play_schedule(seed: u64, size: &Size, schedule: &Schedule) -> RuleReport {
+fn run_schedule(seed: u64, size: &Size, schedule: &Schedule) -> RuleReport {
     let conditions = Conditions::draw(seed);
-    let world = TestFleet::start(
+    let fleet = TestFleet::start(
         &common::program(),
         size.dispatchers,
         size.workers,
         conditions,
     );
-    let clients = clients::start(&world, size.clients, seed);
-    faults::play(&world, schedule);
-    std::thread::sleep((world.start + size.duration).saturating_duration_since(Instant::now()));
-    world.over.store(true, Ordering::Relaxed);
+    let clients = clients::start(&fleet, size.clients, seed);
+    faults::inject(&fleet, schedule);
+    std::thread::sleep(
+        (fleet.started_at + size.duration).saturating_duration_since(Instant::now()),
+    );
+    fleet.clients_stopped.store(true, Ordering::Relaxed);
     let sent: Vec<_> = clients
         .into_iter()
         .flat_map(|client| client.join().unwrap())
         .collect();
-    for dispatcher in &world.dispatchers {
-        if dispatcher.crashed() {
-            world.record_violation(format!("dispatcher {} has crashed", dispatcher.number));
+    for dispatcher in &fleet.dispatchers {
+        if dispatcher.has_crashed() {
+            fleet.record_violation(format!("dispatcher {} has crashed", dispatcher.number));
         } else if !dispatcher.ready_within(READY_TIMEOUT) {
-            world.record_violation(format!("dispatcher {} is not ready", dispatcher.number));
+            fleet.record_violation(format!("dispatcher {} is not ready", dispatcher.number));
         }
     }
-    let verdict = check_rules(&world, &sent);
+    let report = check_rules(&fleet, &sent);
     println!(
         "seed {seed}, {conditions:?}: {} of {} served",
-        verdict.served, verdict.requests
+        report.served, report.requests
     );
-    if !verdict.broken.is_empty() {
-        println!("seed {seed} broke {:#?} on {schedule:?}", verdict.broken);
+    if !report.violations.is_empty() {
+        println!(
+            "seed {seed}: violations {:#?} with the schedule {schedule:?}",
+            report.violations
+        );
     }
-    verdict
+    report
 }
 
-fn play_and_check(seed: u64, size: &Size) {
-    check(seed, &play(seed, size));
+fn run_and_check(seed: u64, size: &Size) {
+    check(seed, &run(seed, size));
 }
 
-fn check(seed: u64, verdict: &RuleReport) {
+fn check(seed: u64, report: &RuleReport) {
     assert!(
-        verdict.broken.is_empty(),
+        report.violations.is_empty(),
         "seed {seed}: {:#?}",
-        verdict.broken
+        report.violations
     );
     assert!(
-        verdict.served * 4 > verdict.requests,
+        report.served * 4 > report.requests,
         "seed {seed}: {} of {}",
-        verdict.served,
-        verdict.requests
+        report.served,
+        report.requests
     );
 }
 
 #[test]
 fn the_invariants_hold_under_random_faults() {
     for parallel_seeds in [[1, 2], [3, 4], [6, 9]] {
-        let plays =
-            parallel_seeds.map(|seed| std::thread::spawn(move || play_and_check(seed, &SHORT)));
-        for play in plays {
-            play.join().unwrap();
+        let runs =
+            parallel_seeds.map(|seed| std::thread::spawn(move || run_and_check(seed, &SHORT)));
+        for run in runs {
+            run.join().unwrap();
         }
     }
 }
 
-// Incident: the watches of all dispatchers are lost, workers leave right after, and calls for new
-// watches fail, as discovery serves fewer dispatchers than call it. This lasts for longer than the
-// lease on a list.
+// Regression test: the watches of all dispatchers were lost, workers left right after, and calls
+// for new watches failed, since more dispatchers called than discovery could serve. The outage lasts
+// longer than the lease on a list.
 #[test]
 fn the_invariants_hold_when_an_overloaded_discovery_does_not_report_that_workers_leave() {
     let [second, half] = [1_000, 500].map(Duration::from_millis);
     let losses = [WatchLoss::Silent, WatchLoss::Reset];
-    let plays = [
+    let runs = [
         (Failure::Unavailable, 10),
         (Failure::Reset, 12),
         (Failure::Reset, 13),
     ]
     .map(|(failure, seed)| {
-        let call = second * 3;
+        let call_cost = second * 3;
         let mut schedule: Schedule = losses
             .map(|loss| (second * 2, Fault::WatchesLost { one_in: 1, loss }))
             .to_vec();
         schedule.push((
             second * 2,
-            Fault::DiscoveryCrowded {
-                call,
+            Fault::DiscoveryOverloaded {
+                call_cost,
                 failure,
-                time: second * 11,
+                duration: second * 11,
             },
         ));
         schedule.push((
@@ -135,46 +142,52 @@
             Fault::EndpointsLeaving {
                 one_in: 2,
                 gone: true,
-                back: second * 11,
+                return_after: second * 11,
             },
         ));
-        std::thread::spawn(move || check(seed, &play_schedule(seed, &SHORT, &schedule)))
+        std::thread::spawn(move || check(seed, &run_schedule(seed, &SHORT, &schedule)))
     });
-    for play in plays {
-        play.join().unwrap();
+    for run in runs {
+        run.join().unwrap();
     }
 }
 
-// Incident: workers leave while dispatchers are down, and discovery responds slowly after their
-// restart.
+// Regression test: workers left while dispatchers were down, and discovery responded slowly after
+// the dispatchers were restarted.
 #[test]
 fn the_invariants_hold_when_workers_leave_while_dispatchers_are_down() {
-    let [second, down] = [1, 8].map(Duration::from_secs);
+    let [second, downtime] = [1, 8].map(Duration::from_secs);
     let schedule = vec![
-        (second, Fault::Kill { one_in: 2, down }),
+        (
+            second,
+            Fault::Kill {
+                one_in: 2,
+                downtime,
+            },
+        ),
         (
             second * 3 / 2,
             Fault::EndpointsLeaving {
                 one_in: 2,
                 gone: false,
-                back: Duration::from_secs(11),
+                return_after: Duration::from_secs(11),
             },
         ),
         (
             second * 7,
-            Fault::DiscoveryCrowded {
-                call: Duration::from_millis(700),
+            Fault::DiscoveryOverloaded {
+                call_cost: Duration::from_millis(700),
                 failure: Failure::Reset,
-                time: second * 4,
+                duration: second * 4,
             },
         ),
     ];
-    let plays = [4, 5].map(|seed| {
+    let runs = [4, 5].map(|seed| {
         let schedule = schedule.clone();
-        std::thread::spawn(move || check(seed, &play_schedule(seed, &SHORT, &schedule)))
+        std::thread::spawn(move || check(seed, &run_schedule(seed, &SHORT, &schedule)))
     });
-    for play in plays {
-        play.join().unwrap();
+    for run in runs {
+        run.join().unwrap();
     }
 }
 
@@ -184,10 +197,10 @@
         return;
     };
     let (first, end) = range.split_once("..").expect("FAULT_SEEDS is FROM..TO");
-    let verdicts =
-        (first.parse().unwrap()..end.parse::<u64>().unwrap()).map(|seed| (seed, play(seed, &FULL)));
-    let broken: Vec<_> = verdicts
-        .filter(|(_, verdict)| !verdict.broken.is_empty())
+    let reports =
+        (first.parse().unwrap()..end.parse::<u64>().unwrap()).map(|seed| (seed, run(seed, &FULL)));
+    let violations: Vec<_> = reports
+        .filter(|(_, report)| !report.violations.is_empty())
         .collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/test-support/src/processes/clients.rs
+++ b/crates/test-support/src/processes/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: they keep connections open and use them for as long as these stay open, some disconnect
-//! before the response, and some stop in the middle of a request.
+//! Clients, which reuse open connections. Some disconnect before the response, and some stop in the
+//! middle of a request.
 
 use super::TestFleet;
 use crate::Peer;
@@ -11,51 +11,52 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A client pauses for less than this between two requests.
+/// The pause of a client between two requests is shorter than this.
 const MAX_PAUSE_MS: u64 = 60;
-/// One in so many requests is given up early, within this time; at once in a burst.
+/// The client of one in this many requests disconnects early, within this time. In a burst of
+/// disconnects all clients disconnect at once.
 const DISCONNECT_ONE_IN: u32 = 8;
 const DISCONNECT_WITHIN_MS: u64 = 60;
-/// One in so many clients stops in the middle of its request and stays.
+/// For one in this many requests, the client stops in the middle of the request and stays connected.
 const INCOMPLETE_ONE_IN: u32 = 40;
-/// One in so many uses a new connection although it has one open.
+/// One in this many requests is sent on a new connection even if one is open.
 const NEW_CONNECTION_ONE_IN: u32 = 5;
-/// So many of so many requests are of the non-idempotent class.
-const NON_IDEMPOTENT: u32 = 2;
-const NON_IDEMPOTENT_OF: u32 = 5;
+/// The share of requests that are of the non-idempotent class.
+const NON_IDEMPOTENT_NUMERATOR: u32 = 2;
+const NON_IDEMPOTENT_DENOMINATOR: u32 = 5;
 
-/// How a request ended, for its client.
+/// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// With a response, of which this is the first line.
+pub enum RequestEnd {
+    /// With a response, whose first line this is.
     Response(String),
-    /// Its client has disconnected.
+    /// Its client disconnected.
     Disconnected,
-    /// Its connection ended, or stayed silent, without a response.
+    /// Its connection was closed, or remained silent, without a response.
     NoResponse,
 }
 
 /// The connection that a request was sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
-    /// A new one.
+    /// A new connection.
     New,
-    /// One that was kept from an earlier request, and may be closed as this one is sent.
-    Kept,
+    /// A connection of an earlier request, which may be closed while this request is sent.
+    Reused,
 }
 
-/// A request as its client saw it.
+/// The record of a request by its client.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     /// The index of the dispatcher.
     pub dispatcher: usize,
     /// Its `X-Txn`.
     pub id: String,
-    /// Its class is the non-idempotent one.
+    /// Whether its class is the non-idempotent one.
     pub is_non_idempotent: bool,
-    /// What it was sent on.
+    /// The connection that it was sent on.
     pub connection: Connection,
-    /// Its client stopped in the middle of it.
+    /// Whether its client stopped in the middle of it.
     pub is_incomplete: bool,
     /// When it was sent.
     pub at: Instant,
@@ -64,17 +65,17 @@
     /// When it ended.
     pub ended_at: Instant,
     /// How it ended.
-    pub end: End,
+    pub end: RequestEnd,
 }
 
-/// Starts so many clients. Each thread returns what its client has seen.
-pub fn start(world: &Arc<TestFleet>, count: u64, seed: u64) -> Vec<JoinHandle<Vec<Sent>>> {
+/// Starts this many clients. Each thread returns the requests that its client has sent.
+pub fn start(fleet: &Arc<TestFleet>, count: u64, seed: u64) -> Vec<JoinHandle<Vec<SentRequest>>> {
     let client = |number: u64| {
         let client = Client {
-            world: world.clone(),
+            fleet: fleet.clone(),
             number,
             rng: Rng::with_seed(seed ^ (number << 32)),
-            kept: HashMap::new(),
+            open_connections: HashMap::new(),
             sent: vec![],
         };
         std::thread::spawn(move || client.run())
@@ -83,25 +84,28 @@
 }
 
 struct Client {
-    world: Arc<TestFleet>,
+    fleet: Arc<TestFleet>,
     number: u64,
     rng: Rng,
     /// Its open connections, by dispatcher.
-    kept: HashMap<usize, Peer>,
-    sent: Vec<Sent>,
+    open_connections: HashMap<usize, Peer>,
+    sent: Vec<SentRequest>,
 }
 
 impl Client {
-    fn run(mut self) -> Vec<Sent> {
-        while !self.world.over.load(Ordering::Relaxed) {
+    fn run(mut self) -> Vec<SentRequest> {
+        while !self.fleet.clients_stopped.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(self.rng.u64(..MAX_PAUSE_MS)));
-            let dispatcher = self.rng.usize(..self.world.dispatchers.len());
+            let dispatcher = self.rng.usize(..self.fleet.dispatchers.len());
             let wants_new = self.rng.u32(..NEW_CONNECTION_ONE_IN) == 0;
-            let kept = self.kept.remove(&dispatcher).filter(|_| !wants_new);
-            let (peer, connection) = match kept {
-                // Closed between two requests, which the client has seen.
+            let reusable = self
+                .open_connections
+                .remove(&dispatcher)
+                .filter(|_| !wants_new);
+            let (peer, connection) = match reusable {
+                // The connection was closed between two requests, which the client notices.
                 Some(peer) if peer.is_closed() => continue,
-                Some(peer) => (peer, Connection::Kept),
+                Some(peer) => (peer, Connection::Reused),
                 None => match self.connect(dispatcher) {
                     Some(peer) => (peer, Connection::New),
                     None => continue,
@@ -113,7 +117,7 @@
     }
 
     fn connect(&self, dispatcher: usize) -> Option<Peer> {
-        let address = self.world.dispatchers[dispatcher]
+        let address = self.fleet.dispatchers[dispatcher]
             .address
             .lock()
             .unwrap()
@@ -123,13 +127,14 @@
 
     fn request(&mut self, dispatcher: usize, mut peer: Peer, connection: Connection) {
         let id = format!("{}-{}", self.number, self.sent.len());
-        let is_non_idempotent = self.rng.u32(..NON_IDEMPOTENT_OF) < NON_IDEMPOTENT;
+        let is_non_idempotent =
+            self.rng.u32(..NON_IDEMPOTENT_DENOMINATOR) < NON_IDEMPOTENT_NUMERATOR;
         let class = if is_non_idempotent {
             "booking-import"
         } else {
             "rate-push"
         };
-        let remaining = self.world.conditions.remaining(is_non_idempotent);
+        let remaining = self.fleet.conditions.remaining(is_non_idempotent);
         let is_incomplete = self.rng.u32(..INCOMPLETE_ONE_IN) == 0;
         let at = Instant::now();
         if is_incomplete {
@@ -139,14 +144,14 @@
         } else {
             peer.send(&format!("POST /{class}/k {id} {} x", remaining.as_millis()));
         }
-        let is_burst = self.world.disconnect_burst.load(Ordering::Relaxed);
+        let is_burst = self.fleet.disconnect_burst.load(Ordering::Relaxed);
         let disconnects = !is_incomplete && (is_burst || self.rng.u32(..DISCONNECT_ONE_IN) == 0);
         let end = if disconnects {
             self.disconnect(peer, is_burst)
         } else {
             self.await_response(dispatcher, peer)
         };
-        self.sent.push(Sent {
+        self.sent.push(SentRequest {
             dispatcher,
             id,
             is_non_idempotent,
@@ -159,22 +164,22 @@
         });
     }
 
-    fn disconnect(&mut self, peer: Peer, at_once: bool) -> End {
+    fn disconnect(&mut self, peer: Peer, at_once: bool) -> RequestEnd {
         if !at_once {
             let wait = self.rng.u64(..DISCONNECT_WITHIN_MS);
             std::thread::sleep(Duration::from_millis(wait));
         }
         drop(peer);
-        End::Disconnected
+        RequestEnd::Disconnected
     }
 
-    fn await_response(&mut self, dispatcher: usize, mut peer: Peer) -> End {
+    fn await_response(&mut self, dispatcher: usize, mut peer: Peer) -> RequestEnd {
         let Ok(response) = peer.read_message() else {
-            return End::NoResponse;
+            return RequestEnd::NoResponse;
         };
         if !response.to_lowercase().contains("connection: close") {
-            self.kept.insert(dispatcher, peer);
+            self.open_connections.insert(dispatcher, peer);
         }
-        End::Response(response.lines().next().unwrap_or_default().to_owned())
+        RequestEnd::Response(response.lines().next().unwrap_or_default().to_owned())
     }
 }
--- a/crates/test-support/src/processes/conditions.rs
+++ b/crates/test-support/src/processes/conditions.rs
@@ -1,20 +1,20 @@
-//! What holds throughout a play: how lists arrive, the deadlines, and the limit of sockets.
+//! The parameters of a test run: how lists are delivered, the deadlines, and the socket limit.
 
 use crate::SETTINGS;
 use std::time::Duration;
 
-/// A client waits at most this long.
+/// The longest time that a client waits.
 const MAX_REMAINING: Duration = Duration::from_millis(2_500);
-/// A process that was asked to stop may be killed so long after the longest deadline, of which at
-/// most the second counts.
+/// A process that was asked to stop may be killed after the longest deadline, of which at most
+/// `MAX_COUNTED_DEADLINE` counts, plus this margin.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 
-/// The deadlines of the idempotent and of the non-idempotent class: those of [`SETTINGS`], and
-/// short ones.
+/// The deadlines of the idempotent class and of the non-idempotent class: those of [`SETTINGS`],
+/// and short ones.
 const USUAL_DEADLINES: [Duration; 2] = [Duration::from_secs(5), Duration::from_secs(6)];
 const SHORT_DEADLINES: [Duration; 2] = [Duration::from_millis(400), Duration::from_secs(1)];
-/// The limits of sockets that are drawn.
+/// The socket limits to draw from.
 const MANY_SOCKETS: usize = 1_024;
 const FEW_SOCKETS: usize = 128;
 
@@ -23,12 +23,12 @@
 pub enum ListDelivery {
     /// Each dispatcher polls the discovery service.
     Polled,
-    /// An agent beside each dispatcher is pushed them.
+    /// Lists are pushed to an agent beside each dispatcher.
     Pushed,
 }
 
 impl ListDelivery {
-    /// The settings of the scenarios, as those of one dispatcher of a fleet.
+    /// [`SETTINGS`] for one dispatcher of a fleet.
     pub fn settings(self, instance: usize, instance_count: usize) -> String {
         let mode = match self {
             ListDelivery::Polled => "subscribe",
@@ -42,19 +42,19 @@
     }
 }
 
-/// What holds throughout a play.
+/// The parameters of a test run, which do not change during the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
-    /// How lists reach the dispatchers.
+    /// How endpoint lists reach the dispatchers.
     pub lists: ListDelivery,
     /// The deadline of the idempotent class, and of the non-idempotent one.
     pub deadlines: [Duration; 2],
-    /// The limit of sockets of a dispatcher.
+    /// The socket limit of a dispatcher.
     pub sockets: usize,
 }
 
 impl Conditions {
-    /// Those of a seed.
+    /// Draws the conditions of a seed.
     pub fn draw(seed: u64) -> Conditions {
         let mut rng = fastrand::Rng::with_seed(!seed);
         let lists = if seed.is_multiple_of(2) {
@@ -79,12 +79,12 @@
         }
     }
 
-    /// How long the client of a class waits.
+    /// The time that the client of a request waits, by class.
     pub fn remaining(&self, is_non_idempotent: bool) -> Duration {
         self.deadlines[usize::from(is_non_idempotent)].min(MAX_REMAINING)
     }
 
-    /// How long after SIGTERM a process may be killed.
+    /// The time from SIGTERM until a process may be killed.
     pub(super) fn kill_after(&self) -> Duration {
         let longest = self.deadlines[0].max(self.deadlines[1]);
         longest.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN
--- a/crates/test-support/src/processes/discovery/calls.rs
+++ b/crates/test-support/src/processes/discovery/calls.rs
@@ -1,4 +1,4 @@
-//! Serves the calls and watches of a dispatcher, with the faults that are in force.
+//! Serves the calls and watches of a dispatcher, subject to the current faults.
 
 use super::{CallFault, DiscoveryLink, OldAddress, SentVersion, State, Watch, WatchLoss};
 use crate::Peer;
@@ -9,20 +9,20 @@
 
 /// A watch without changes sends a heartbeat this often.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a watch looks for changes.
+/// How often a watch polls for changes.
 const WATCH_POLL: Duration = Duration::from_millis(10);
-/// Between two bytes of a response that trickles.
+/// The time between two bytes of a response that is sent byte by byte.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(200);
-/// An outdated service has caught up after this time; an agent beside the dispatcher sooner, as
-/// what it has counts at once.
+/// The time after which an outdated service catches up. For an agent it is shorter, as the
+/// dispatcher counts as notified at once of the list that its agent has.
 const SERVICE_LAG: Duration = Duration::from_millis(1_500);
 const AGENT_LAG: Duration = Duration::from_millis(200);
 /// How long a call without a response stays open.
 const HANG_DURATION: Duration = Duration::from_secs(8);
 
-/// Chunks of a response.
+/// Chunks of the response to a watch.
 const HEARTBEAT_CHUNK: &str = "raw 1\\r\\n\\n\\r\\n";
-const HALF_LINE_CHUNK: &str = "raw c\\r\\n{\"index\":123\\r\\n";
+const PARTIAL_LINE_CHUNK: &str = "raw c\\r\\n{\"index\":123\\r\\n";
 
 /// A watch in progress.
 struct WatchStream {
@@ -34,7 +34,7 @@
     /// The version that was sent last.
     version: u64,
     last_sent_at: Instant,
-    half_line_sent: bool,
+    partial_line_sent: bool,
 }
 
 impl State {
@@ -45,7 +45,7 @@
             .map(|fault| fault.fault)
     }
 
-    /// What is at an address.
+    /// The state of an address.
     fn address_state(&self, address: usize) -> OldAddress {
         if self.current == address {
             OldAddress::Alive
@@ -62,8 +62,9 @@
             .or(is_silent.then_some(WatchLoss::Silent))
     }
 
-    fn changes_are_late(&self) -> bool {
-        self.late_until.is_some_and(|until| Instant::now() < until)
+    fn changes_are_delayed(&self) -> bool {
+        self.changes_delayed_until
+            .is_some_and(|until| Instant::now() < until)
     }
 }
 
@@ -82,10 +83,10 @@
             return std::thread::sleep(HANG_DURATION);
         }
         let watch_from = watch_from(&request);
-        if let Err(failure) = self.take_turn(watch_from) {
+        if let Err(failure) = self.wait_for_turn(watch_from) {
             return refuse(peer, failure);
         }
-        // The dispatcher may have given the call up, and would read nothing that is sent on it.
+        // The dispatcher may have given up the call, and would not read a response.
         if peer.is_closed() {
             return;
         }
@@ -93,7 +94,7 @@
             (Some(CallFault::HeadAndHeartbeats), _) => self.send_heartbeats(address, peer),
             (Some(CallFault::Trickles), _) => self.trickle(peer),
             (Some(CallFault::Outdated), None) => {
-                self.send_whole(
+                self.send_snapshot(
                     address,
                     &mut peer,
                     self.service.endpoints.outdated_snapshot(),
@@ -101,7 +102,7 @@
             }
             (Some(CallFault::Outdated), Some(_)) => self.watch_outdated(address, peer),
             (_, None) => {
-                self.send_whole(address, &mut peer, self.service.endpoints.snapshot());
+                self.send_snapshot(address, &mut peer, self.service.endpoints.snapshot());
             }
             (_, Some(version)) => {
                 peer.send("200");
@@ -110,32 +111,32 @@
         }
     }
 
-    fn take_turn(&self, watch_from: Option<u64>) -> Result<(), Failure> {
+    fn wait_for_turn(&self, watch_from: Option<u64>) -> Result<(), Failure> {
         let endpoints = &self.service.endpoints;
         let lines = match watch_from {
             Some(version) => endpoints.changed_since(version),
             None => endpoints.count(),
         };
         match self.lists {
-            ListDelivery::Polled => self.service.take_turn(lines),
-            // An agent beside the dispatcher serves no other.
+            ListDelivery::Polled => self.service.wait_for_turn(lines),
+            // An agent serves no other dispatcher.
             ListDelivery::Pushed if self.service.is_up() => Ok(()),
             ListDelivery::Pushed => Err(Failure::Unavailable),
         }
     }
 
-    fn send_whole(&self, address: usize, peer: &mut Peer, list: ListMessage) {
+    fn send_snapshot(&self, address: usize, peer: &mut Peer, list: ListMessage) {
         peer.send(&format!("json {}", list.text));
-        self.note_sent(address, list.version);
+        self.record_sent(address, list.version);
     }
 
-    /// Sends a line of a watch whose head was sent.
+    /// Sends a line on a watch whose response head was sent.
     fn send_line(&self, address: usize, peer: &mut Peer, list: &ListMessage) {
         peer.send(&format!("+ {}", list.text));
-        self.note_sent(address, list.version);
+        self.record_sent(address, list.version);
     }
 
-    /// A watch: what has changed since this version, then each change.
+    /// Serves a watch: sends the changes since this version, and then each new change.
     fn watch(&self, address: usize, mut peer: Peer, from: u64) {
         let opened_at = Instant::now();
         let first = self.service.endpoints.delta_since(from);
@@ -144,44 +145,44 @@
             address,
             peer,
             opened_at,
-            index: self.note_opened(opened_at),
+            index: self.record_opened(opened_at),
             version: first.version,
             last_sent_at: opened_at,
-            half_line_sent: false,
+            partial_line_sent: false,
         };
         while self.is_served(address) && !stream.peer.is_closed() {
             std::thread::sleep(WATCH_POLL);
-            let (loss, changes_are_late) = {
+            let (loss, changes_are_delayed) = {
                 let state = self.state.lock().unwrap();
-                (state.watch_loss(&stream), state.changes_are_late())
+                (state.watch_loss(&stream), state.changes_are_delayed())
             };
             match loss {
                 Some(WatchLoss::Reset) => {
-                    self.note_closed(stream.index);
+                    self.record_closed(stream.index);
                     return stream.peer.reset();
                 }
                 Some(WatchLoss::Ended) => break,
-                Some(WatchLoss::HalfLine) => self.fall_silent(&mut stream, true),
-                Some(WatchLoss::Silent) => self.fall_silent(&mut stream, false),
-                None => self.send_changes(&mut stream, changes_are_late),
+                Some(WatchLoss::PartialLine) => self.silence(&mut stream, true),
+                Some(WatchLoss::Silent) => self.silence(&mut stream, false),
+                None => self.send_changes(&mut stream, changes_are_delayed),
             }
         }
-        self.note_closed(stream.index);
+        self.record_closed(stream.index);
     }
 
-    fn fall_silent(&self, stream: &mut WatchStream, after_half_line: bool) {
+    fn silence(&self, stream: &mut WatchStream, after_partial_line: bool) {
         self.state.lock().unwrap().watches[stream.index]
             .silent_since
             .get_or_insert(Instant::now());
-        if after_half_line && !std::mem::replace(&mut stream.half_line_sent, true) {
-            stream.peer.send(HALF_LINE_CHUNK);
+        if after_partial_line && !std::mem::replace(&mut stream.partial_line_sent, true) {
+            stream.peer.send(PARTIAL_LINE_CHUNK);
         }
     }
 
-    /// Sends what has changed, if anything has and is not late, or a heartbeat when one is due.
-    fn send_changes(&self, stream: &mut WatchStream, changes_are_late: bool) {
+    /// Sends new changes, unless they are delayed, or else a heartbeat if one is due.
+    fn send_changes(&self, stream: &mut WatchStream, changes_are_delayed: bool) {
         let endpoints = &self.service.endpoints;
-        if endpoints.version() > stream.version && !changes_are_late {
+        if endpoints.version() > stream.version && !changes_are_delayed {
             let changes = endpoints.delta_since(stream.version);
             self.send_line(stream.address, &mut stream.peer, &changes);
             stream.version = changes.version;
@@ -212,8 +213,8 @@
         }
     }
 
-    /// A service that is older than what it has sent before: its list lacks the last changes, and
-    /// it catches up some time later.
+    /// Serves a watch whose first list is older than the list that was sent before: it lacks the
+    /// last changes, which are sent some time later.
     fn watch_outdated(&self, address: usize, mut peer: Peer) {
         let list = self.service.endpoints.outdated_snapshot();
         peer.send("200");
@@ -222,7 +223,7 @@
             ListDelivery::Polled => SERVICE_LAG,
             ListDelivery::Pushed => AGENT_LAG,
         });
-        // The dispatcher may have given the watch up meanwhile.
+        // The dispatcher may have given up the watch meanwhile.
         if peer.is_closed() {
             return;
         }
@@ -233,13 +234,13 @@
         self.state.lock().unwrap().address_state(address)
     }
 
-    /// Whether watches go on at an address, silent or not.
+    /// Whether watches at an address stay open, even if they are silent.
     fn is_served(&self, address: usize) -> bool {
         self.service.is_up() && self.address_state(address) != OldAddress::Dead
     }
 
-    /// Returns the index of the watch.
-    fn note_opened(&self, opened_at: Instant) -> usize {
+    /// Records a new watch. Returns its index.
+    fn record_opened(&self, opened_at: Instant) -> usize {
         let mut state = self.state.lock().unwrap();
         state.watches.push(Watch {
             opened_at,
@@ -249,11 +250,11 @@
         state.watches.len() - 1
     }
 
-    fn note_closed(&self, watch: usize) {
+    fn record_closed(&self, watch: usize) {
         self.state.lock().unwrap().watches[watch].closed_at = Some(Instant::now());
     }
 
-    fn note_sent(&self, address: usize, version: u64) {
+    fn record_sent(&self, address: usize, version: u64) {
         let mut state = self.state.lock().unwrap();
         let now = Instant::now();
         state.sent_versions.push(SentVersion { at: now, version });
@@ -264,7 +265,7 @@
     }
 }
 
-/// The version that a request asks for the changes since; none if it asks for the whole list.
+/// The version from which a request watches changes; none if it requests the whole list.
 fn watch_from(request: &str) -> Option<u64> {
     let rest = request.split("index=").nth(1)?;
     let digits = rest.split(' ').next().unwrap_or_default();
--- a/crates/test-support/src/processes/discovery/mod.rs
+++ b/crates/test-support/src/processes/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! Discovery as one dispatcher sees it: the shared service, or an agent beside the dispatcher that
-//! is pushed its list.
+//! The interface of discovery to one dispatcher: the shared service, or an agent beside the
+//! dispatcher to which lists are pushed.
 //!
-//! The watches and calls of each dispatcher can fail in ways of their own, and discovery can move
-//! to another address. `calls` serves the dispatcher; `notification` works out when a change
-//! counts as notified to it.
+//! The watches and calls of each dispatcher can fail separately, and discovery can move to another
+//! address. `calls` serves the dispatcher; `notification` determines when the dispatcher counts as
+//! notified of a change.
 
 mod calls;
 mod notification;
@@ -17,50 +17,50 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How many addresses discovery can be at, one after the other.
+/// The number of addresses between which discovery moves.
 const ADDRESSES: usize = 3;
 
-/// What happens to the open watches.
+/// How open watches are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchLoss {
-    /// They send nothing any more.
+    /// They send nothing more, but stay open.
     Silent,
-    /// The same, after half a line.
-    HalfLine,
+    /// They send nothing more after a part of a line, but stay open.
+    PartialLine,
     /// They are reset.
     Reset,
     /// They end.
     Ended,
 }
 
-/// What happens to calls.
+/// How calls fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// They have no response.
+    /// There is no response.
     Unanswered,
-    /// The head of the response comes, then heartbeats as on a watch without changes.
+    /// The response consists of its head and heartbeats, as on a watch without changes.
     HeadAndHeartbeats,
-    /// The response comes byte by byte.
+    /// The response is sent byte by byte.
     Trickles,
-    /// The response is the whole list as it was before the last changes.
+    /// The response is a list that lacks the last changes.
     Outdated,
 }
 
-/// What is at an address that discovery has moved away from.
+/// The state of an address that discovery has moved away from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldAddress {
-    /// Discovery, as before.
+    /// It still serves calls and watches.
     Alive,
-    /// Nothing: watches end and calls fail.
+    /// Watches end, and calls fail.
     Dead,
-    /// Watches send nothing any more, and calls have no response.
+    /// Watches send nothing more, and calls have no response.
     Silent,
 }
 
 /// A watch that was opened.
 struct Watch {
     opened_at: Instant,
-    /// Since when it sends nothing, not even heartbeats.
+    /// The time since which it sends nothing, not even heartbeats.
     silent_since: Option<Instant>,
     closed_at: Option<Instant>,
 }
@@ -90,7 +90,7 @@
     fault: CallFault,
 }
 
-/// Discovery of one dispatcher.
+/// The interface of discovery to one dispatcher.
 pub struct DiscoveryLink {
     service: Arc<DiscoveryService>,
     lists: ListDelivery,
@@ -99,14 +99,14 @@
 }
 
 struct State {
-    /// The index of the address that discovery is at.
+    /// The index of the current address of discovery.
     current: usize,
-    /// What is at each of the other addresses.
+    /// The state of each of the other addresses.
     old_addresses: [OldAddress; ADDRESSES],
-    /// What happened to the watches that had been opened by then.
+    /// The last loss of watches. It applies to all watches that were open at that time.
     watches_lost: Option<WatchesLost>,
-    /// No changes are sent on watches until then.
-    late_until: Option<Instant>,
+    /// No changes are sent on watches until this time.
+    changes_delayed_until: Option<Instant>,
     calls_fail: Option<CallsFail>,
     sent_versions: Vec<SentVersion>,
     watches: Vec<Watch>,
@@ -114,7 +114,7 @@
 }
 
 impl DiscoveryLink {
-    /// Starts the service for a dispatcher, or its agent.
+    /// Starts to serve a dispatcher, on behalf of the service or as its agent.
     pub fn start(service: Arc<DiscoveryService>, lists: ListDelivery) -> Arc<DiscoveryLink> {
         let listeners = [(); ADDRESSES].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
         let addresses = listeners
@@ -124,7 +124,7 @@
             current: 0,
             old_addresses: [OldAddress::Dead; ADDRESSES],
             watches_lost: None,
-            late_until: None,
+            changes_delayed_until: None,
             calls_fail: None,
             sent_versions: vec![],
             watches: vec![],
@@ -143,38 +143,38 @@
         link
     }
 
-    /// Where it is.
+    /// Its current address.
     pub fn address(&self) -> String {
         self.addresses[self.state.lock().unwrap().current].clone()
     }
 
-    /// The watches that are open now are lost.
+    /// Makes all open watches fail.
     pub fn lose_watches(&self, loss: WatchLoss) {
         let at = Instant::now();
         self.state.lock().unwrap().watches_lost = Some(WatchesLost { at, loss });
     }
 
-    /// Watches send no changes for this time, but go on.
-    pub fn delay_changes(&self, time: Duration) {
-        self.state.lock().unwrap().late_until = Some(Instant::now() + time);
+    /// Delays changes on watches for this time. Heartbeats are still sent.
+    pub fn delay_changes(&self, duration: Duration) {
+        self.state.lock().unwrap().changes_delayed_until = Some(Instant::now() + duration);
     }
 
-    /// Calls fail for this time.
-    pub fn fail_calls(&self, fault: CallFault, time: Duration) {
-        let until = Instant::now() + time;
+    /// Makes calls fail for this time.
+    pub fn fail_calls(&self, fault: CallFault, duration: Duration) {
+        let until = Instant::now() + duration;
         self.state.lock().unwrap().calls_fail = Some(CallsFail { until, fault });
     }
 
     /// Moves to the next address.
-    pub fn move_away(&self, old_address: OldAddress) {
+    pub fn move_to_next_address(&self, old_address: OldAddress) {
         let mut state = self.state.lock().unwrap();
         let old = state.current;
         state.old_addresses[old] = old_address;
         state.current = (old + 1) % ADDRESSES;
     }
 
-    /// Notes that the dispatcher was notified of the last move.
-    pub fn note_move(&self) {
+    /// Records that the dispatcher was notified of the last move.
+    pub fn record_move(&self) {
         let mut state = self.state.lock().unwrap();
         let address = state.current;
         state.moves.push(Move {
--- a/crates/test-support/src/processes/discovery/notification.rs
+++ b/crates/test-support/src/processes/discovery/notification.rs
@@ -1,27 +1,28 @@
-//! When a change of the list counts as notified to a dispatcher.
+//! Determines when a dispatcher counts as notified of a change of the list.
 //!
-//! It does when it was sent, or else after a limit from when discovery could be reached with it. An
-//! agent beside the dispatcher counts at once for what it has, except on a watch that is silent.
+//! It does when the change was sent to it, or a limit after discovery was reachable with the
+//! change, whichever is earlier. With an agent it does as soon as the agent has the change, unless
+//! its watch is silent or discovery has moved since a list was last sent.
 
 use super::{DiscoveryLink, Move};
 use crate::processes::ListDelivery;
 use std::time::{Duration, Instant};
 
-/// Within what time a change counts as notified.
+/// The times after which a dispatcher counts as notified of a change.
 pub struct NotificationLimits {
-    /// After discovery could be reached with it, or a watch fell silent.
+    /// The time from when discovery was reachable with the change, or a watch became silent.
     pub after_reachable: Duration,
-    /// After a new configuration has moved discovery.
+    /// The time from when a new configuration moved discovery.
     pub after_move: Duration,
 }
 
-/// A change, for one process of the dispatcher.
+/// A change of the list, and the process that has to be notified of it.
 pub struct ChangeToNotify {
     /// When the process was started.
     pub process_started_at: Instant,
     /// When the list was changed.
     pub changed_at: Instant,
-    /// The version of the list that the change made.
+    /// The version of the list that includes the change.
     pub version: u64,
 }
 
@@ -32,19 +33,20 @@
 }
 
 impl DiscoveryLink {
-    /// When a change counts as notified to a process: when it was sent to it, or a limit after
-    /// discovery could be reached with it, or a limit after a move since which nothing was sent.
+    /// When a process counts as notified of a change: the earliest of when the change was sent to
+    /// it, a limit after discovery was reachable with the change, and a limit after a move since
+    /// which nothing was sent. None if discovery was not reachable and nothing was sent.
     pub fn notified_at(
         &self,
         change: &ChangeToNotify,
         limits: &NotificationLimits,
     ) -> Option<Instant> {
         let reachable_at = self.service.reachable_from(change.changed_at);
-        let after_move = reachable_at.and_then(|at| self.limit_after_move(change, at, limits));
+        let after_move = reachable_at.and_then(|at| self.move_limit_at(change, at, limits));
         let after_reachable = match self.lists {
             ListDelivery::Polled => reachable_at.map(|at| at + limits.after_reachable),
             ListDelivery::Pushed if after_move.is_some() => None,
-            ListDelivery::Pushed => reachable_at.map(|at| self.agent_counts_at(at, limits)),
+            ListDelivery::Pushed => reachable_at.map(|at| self.agent_notified_at(at, limits)),
         };
         let sent_at = self.sent_at(change);
         [after_reachable, after_move, sent_at]
@@ -53,9 +55,9 @@
             .min()
     }
 
-    /// When a change counts that an agent has at this time: at once, unless the watch of that time
-    /// is silent.
-    fn agent_counts_at(&self, at: Instant, limits: &NotificationLimits) -> Instant {
+    /// When the dispatcher counts as notified of a change that its agent has at this time: at once,
+    /// unless the watch that is open at this time is silent.
+    fn agent_notified_at(&self, at: Instant, limits: &NotificationLimits) -> Instant {
         let Some(silent) = self.silent_watch(at) else {
             return at;
         };
@@ -73,9 +75,10 @@
         Some(first.at)
     }
 
-    /// When a change that discovery had at this time counts because of a move: one that the process
-    /// was notified of, and since which it was sent nothing until the change.
-    fn limit_after_move(
+    /// When the process counts as notified, because of a move, of a change that discovery had at
+    /// this time. Only moves count that the process was notified of, and since which it had been
+    /// sent no list when discovery had the change.
+    fn move_limit_at(
         &self,
         change: &ChangeToNotify,
         reachable_at: Instant,
@@ -87,17 +90,17 @@
             if moved.at < change.process_started_at {
                 return None;
             }
-            // A list that was sent at the address of a later move counts for this one as well.
+            // A list that was sent at the address of a later move counts for this move as well.
             let later = moves[index..].iter();
             let first_list_at = later.filter_map(|later| later.first_list_at).min();
-            // A list that was sent after the change has it, and counts by itself.
+            // A list that was sent later includes the change, and is covered by `sent_at`.
             let was_sent_before = first_list_at.is_some_and(|at| at <= reachable_at);
             (!was_sent_before).then(|| (moved.at + limits.after_move).max(reachable_at))
         };
         moves.iter().enumerate().filter_map(counts_for).min()
     }
 
-    /// The watch that was open at this time, if it was silent or became so.
+    /// The watch that was open at this time, if it was silent or became silent later.
     fn silent_watch(&self, at: Instant) -> Option<SilentWatch> {
         let state = self.state.lock().unwrap();
         let mut latest_first = state.watches.iter().rev();
--- a/crates/test-support/src/processes/dispatcher.rs
+++ b/crates/test-support/src/processes/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher process: it is started, configured, signalled, killed, and started again.
+//! A dispatcher, whose processes are started, configured, signalled, killed and restarted.
 
 use super::discovery::{DiscoveryLink, OldAddress};
 use super::program::{field, is_ready, serve};
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// New connections keep coming for so long after a dispatcher is asked to stop.
-const CLIENTS_LEARN_OF_STOP: Duration = Duration::from_millis(300);
-/// How often the end of a process is looked for.
+/// Clients still open connections to a dispatcher for this long after it is asked to stop.
+const STOP_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
+/// How often the exit of a process is polled.
 const EXIT_POLL: Duration = Duration::from_millis(5);
-/// How often a process is asked whether it is ready.
+/// How often the readiness of a process is polled.
 const READY_POLL: Duration = Duration::from_millis(20);
 
 /// One process of a dispatcher.
@@ -24,35 +24,35 @@
     pub started_at: Instant,
     /// When it was asked to stop.
     pub terminated_at: Option<Instant>,
-    /// When it was killed. What it had in flight may be lost then, unless it had been asked to stop
+    /// When it was killed. Its requests in flight may be lost, unless it had been asked to stop
     /// before.
     pub killed_at: Option<Instant>,
 }
 
-/// A time during which idle connections filled the sockets of a dispatcher.
+/// A period in which idle connections exhausted the sockets of a dispatcher.
 #[derive(Clone, Copy, Debug)]
-pub struct CrowdedTime {
+pub struct SocketExhaustion {
     pub from: Instant,
     pub to: Instant,
 }
 
-/// A dispatcher: its process, if one runs, and what outlives its processes.
+/// A dispatcher: its current process, if any, and the state that outlives processes.
 pub struct Dispatcher {
     /// Its index.
     pub number: usize,
-    /// Discovery as this dispatcher sees it.
+    /// The interface of discovery to this dispatcher.
     pub link: Arc<DiscoveryLink>,
-    /// Where clients connect to its current process.
+    /// The address at which clients connect to its current process.
     pub address: Mutex<Option<String>>,
     /// Its processes, in order.
     pub runs: Mutex<Vec<ProcessRun>>,
-    /// When idle connections filled its sockets.
-    pub crowded_times: Mutex<Vec<CrowdedTime>>,
+    /// The periods in which idle connections exhausted its sockets.
+    pub socket_exhaustions: Mutex<Vec<SocketExhaustion>>,
     child: Mutex<Option<Child>>,
-    /// A fault is about to end its process, or no process was started yet.
+    /// Whether a fault is about to end its process, or no process was started yet.
     is_claimed: AtomicBool,
-    /// Locked while its configuration is written and read.
-    configuring: Mutex<()>,
+    /// Held while its configuration is written and a process reads it.
+    config_lock: Mutex<()>,
     config: PathBuf,
     bootstrap_list: String,
     conditions: Conditions,
@@ -78,10 +78,10 @@
             link,
             address: Mutex::default(),
             runs: Mutex::default(),
-            crowded_times: Mutex::default(),
+            socket_exhaustions: Mutex::default(),
             child: Mutex::default(),
             is_claimed: AtomicBool::new(true),
-            configuring: Mutex::default(),
+            config_lock: Mutex::default(),
             config: std::env::temp_dir().join(file),
             bootstrap_list,
             conditions,
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Starts a process, on the bootstrap list that the first one began with.
-    pub fn launch(&self, world: &TestFleet) {
-        let configuring = self.configuring.lock().unwrap();
+    /// Starts a process. Each process has the same bootstrap list as the first.
+    pub fn launch(&self, fleet: &TestFleet) {
+        let config_lock = self.config_lock.lock().unwrap();
         self.write_config();
         let started_at = Instant::now();
-        let (child, listens) = serve(&world.program, &self.config, &[]);
-        let address = listens.and_then(|line| field(&line, "address"));
+        let (child, listening_line) = serve(&fleet.program, &self.config, &[]);
+        let address = listening_line.and_then(|line| field(&line, "address"));
         *self.child.lock().unwrap() = Some(child);
         self.runs.lock().unwrap().push(ProcessRun {
             started_at,
@@ -103,20 +103,20 @@
             killed_at: None,
         });
         *self.address.lock().unwrap() = address;
-        drop(configuring);
+        drop(config_lock);
         self.is_claimed.store(false, Ordering::SeqCst);
     }
 
-    /// A new configuration moves its discovery to another address.
+    /// Moves its discovery to another address with a new configuration.
     pub fn reconfigure(&self, old_address: OldAddress) {
-        let _configuring = self.configuring.lock().unwrap();
-        self.link.move_away(old_address);
+        let _config_lock = self.config_lock.lock().unwrap();
+        self.link.move_to_next_address(old_address);
         self.write_config();
         self.signal("-HUP");
-        self.link.note_move();
+        self.link.record_move();
     }
 
-    /// Writes the configuration, with discovery where it is now.
+    /// Writes the configuration, with the current address of discovery.
     fn write_config(&self) {
         let settings = self.conditions.settings(self.number, self.instance_count);
         let discovery = self.link.address();
@@ -128,7 +128,7 @@
         std::fs::write(&self.config, text).unwrap();
     }
 
-    /// Sends a signal to its process, if one runs.
+    /// Sends a signal to its process, if any.
     pub fn signal(&self, name: &str) {
         if let Some(child) = &*self.child.lock().unwrap() {
             let _ = Command::new("kill")
@@ -137,31 +137,31 @@
         }
     }
 
-    /// Kills its process and waits for the end of it.
+    /// Kills its process and waits until it has ended.
     pub fn kill(&self) {
         *self.address.lock().unwrap() = None;
         if let Some(mut child) = self.child.lock().unwrap().take() {
             let _ = child.kill();
             let _ = child.wait();
         }
-        // Noted afterwards: what arrives until the process is dead is lost with it.
+        // Recorded afterwards, as requests that arrive until the process has ended may be lost.
         self.update_run(|run| run.killed_at = Some(Instant::now()));
     }
 
-    /// Asks its process to stop, twice if so drawn, and kills it at the earliest time at which that
-    /// may happen.
-    pub fn terminate(&self, world: &TestFleet, twice: bool) {
+    /// Asks its process to stop, with a second SIGTERM if requested, and kills it if it still runs
+    /// at the earliest time at which it may be killed.
+    pub fn terminate(&self, fleet: &TestFleet, second_sigterm: bool) {
         let terminated_at = Instant::now();
         self.update_run(|run| run.terminated_at = Some(terminated_at));
         self.signal("-TERM");
-        std::thread::sleep(CLIENTS_LEARN_OF_STOP);
-        if twice {
+        std::thread::sleep(STOP_PROPAGATION_DELAY);
+        if second_sigterm {
             self.signal("-TERM");
         }
         *self.address.lock().unwrap() = None;
         let kill_at = terminated_at + self.conditions.kill_after();
         while Instant::now() < kill_at {
-            if self.reap(world) {
+            if self.reap(fleet) {
                 return;
             }
             std::thread::sleep(EXIT_POLL);
@@ -169,8 +169,8 @@
         self.kill();
     }
 
-    /// Whether its process has ended. Its status must be a success.
-    fn reap(&self, world: &TestFleet) -> bool {
+    /// Whether its process has ended. Records a violation if it failed.
+    fn reap(&self, fleet: &TestFleet) -> bool {
         let status = self
             .child
             .lock()
@@ -181,8 +181,8 @@
             return false;
         };
         if !status.success() {
-            world.record_violation(format!(
-                "dispatcher {} did not end well: {status}",
+            fleet.record_violation(format!(
+                "dispatcher {} failed in its shutdown: {status}",
                 self.number
             ));
         }
@@ -190,17 +190,17 @@
         true
     }
 
-    /// Whether its process has ended by itself.
-    pub fn crashed(&self) -> bool {
+    /// Whether its process has ended without being asked to.
+    pub fn has_crashed(&self) -> bool {
         let mut child = self.child.lock().unwrap();
         child
             .as_mut()
             .is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Whether its process reports within this time that it is ready.
-    pub fn ready_within(&self, time: Duration) -> bool {
-        let end = Instant::now() + time;
+    /// Waits until its process reports that it is ready. Returns whether it does before the timeout.
+    pub fn ready_within(&self, timeout: Duration) -> bool {
+        let end = Instant::now() + timeout;
         loop {
             let address = self.address.lock().unwrap().clone();
             if address.is_some_and(|address| is_ready(&address)) {
--- a/crates/test-support/src/processes/endpoints.rs
+++ b/crates/test-support/src/processes/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that serve at once, hang or reset, and the list of them that discovery has.
+//! Endpoints that serve requests, hang or reset connections, and the endpoint list of discovery.
 
 use crate::{Peer, endpoint_line, listing, serve_each};
 use std::net::TcpListener;
@@ -9,15 +9,15 @@
 const JOB_DURATION: Duration = Duration::from_millis(10);
 /// How long an endpoint that hangs keeps a connection open.
 const HANG_DURATION: Duration = Duration::from_secs(2);
-/// How many changes an outdated list lacks.
+/// The number of changes that an outdated list lacks.
 const OUTDATED_BY: usize = 3;
 
 /// The status of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStatus {
-    /// It takes jobs.
+    /// It accepts jobs.
     Ready,
-    /// It takes no new jobs.
+    /// It accepts no new jobs.
     Draining,
     /// It is gone.
     Gone,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
     /// It serves the request.
@@ -49,7 +49,7 @@
 pub struct ListChange {
     /// When it was made.
     pub at: Instant,
-    /// The version of the list that it made.
+    /// The version of the list that includes it.
     pub version: u64,
     /// The index of the endpoint.
     pub endpoint: usize,
@@ -57,9 +57,9 @@
     pub status: ListedStatus,
 }
 
-/// A list, or the changes to one, as the discovery service sends it.
+/// A snapshot or a delta of the list, as the discovery service sends it.
 pub struct ListMessage {
-    /// The version of the list that it leads to.
+    /// The version of the list that results.
     pub version: u64,
     /// Its JSON.
     pub text: String,
@@ -68,17 +68,17 @@
 /// A request that an endpoint has read.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it was read. Its first byte may have come earlier.
+    /// When it was read. Its first byte may have arrived earlier.
     pub at: Instant,
     /// The index of the endpoint.
     pub endpoint: usize,
     /// Its `X-Txn`.
     pub id: String,
-    /// The remaining time that the dispatcher gives it.
+    /// The remaining time that the dispatcher sent with it.
     pub remaining: Option<Duration>,
 }
 
-/// All endpoints.
+/// All endpoints of a fleet, and the list of them.
 pub struct Endpoints {
     ports: Vec<u16>,
     behaviors: Mutex<Vec<Behavior>>,
@@ -87,7 +87,7 @@
 }
 
 impl Endpoints {
-    /// Starts so many, all ready.
+    /// Starts this many endpoints. All of them are ready.
     pub fn start(count: usize) -> Arc<Endpoints> {
         let bind = |_| TcpListener::bind("127.0.0.1:0").unwrap();
         let listeners: Vec<_> = (0..count).map(bind).collect();
@@ -121,12 +121,12 @@
         }
     }
 
-    /// How many there are.
+    /// The number of endpoints.
     pub fn count(&self) -> usize {
         self.ports.len()
     }
 
-    /// Sets what an endpoint does from now on.
+    /// Sets how an endpoint handles requests from now on.
     pub fn set_behavior(&self, endpoint: usize, behavior: Behavior) {
         self.behaviors.lock().unwrap()[endpoint] = behavior;
     }
@@ -143,7 +143,7 @@
         });
     }
 
-    /// The version of the list.
+    /// The current version of the list.
     pub fn version(&self) -> u64 {
         self.changes.lock().unwrap().len() as u64
     }
@@ -153,17 +153,17 @@
         self.changes.lock().unwrap().clone()
     }
 
-    /// All requests that were read so far.
+    /// All requests that the endpoints have read so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().unwrap().clone()
     }
 
-    /// The whole list.
+    /// The current list.
     pub fn snapshot(&self) -> ListMessage {
         self.snapshot_after(&self.changes())
     }
 
-    /// The whole list as it was before the last changes.
+    /// The list without the last changes.
     pub fn outdated_snapshot(&self) -> ListMessage {
         let mut changes = self.changes();
         changes.truncate(changes.len().saturating_sub(OUTDATED_BY));
@@ -187,12 +187,12 @@
         }
     }
 
-    /// How many lines have changed since this version.
+    /// The number of changes since this version.
     pub fn changed_since(&self, version: u64) -> usize {
         self.version().saturating_sub(version) as usize
     }
 
-    /// What has changed since this version.
+    /// The changes since this version.
     pub fn delta_since(&self, version: u64) -> ListMessage {
         let changes = self.changes();
         let lines: Vec<String> = changes
@@ -214,7 +214,7 @@
 }
 
 impl Arrival {
-    /// A request that was read just now.
+    /// The record of a request that was just read.
     fn parse(endpoint: usize, request: &str) -> Arrival {
         let at = Instant::now();
         let header = |name: &str| request.lines().find_map(|line| line.strip_prefix(name));
--- /dev/null
+++ b/crates/test-support/src/processes/faults/injection.rs
@@ -0,0 +1,186 @@
+//! Injects the faults of a schedule into the dispatchers and the stand-ins around them.
+
+use super::{Fault, Schedule};
+use crate::processes::TestFleet;
+use crate::processes::dispatcher::{Dispatcher, SocketExhaustion};
+use crate::processes::endpoints::{Behavior, ListedStatus};
+use crate::processes::service::{Cost, USUAL_COST};
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+/// The time between two moves of discovery in a row.
+const MOVE_INTERVAL: Duration = Duration::from_millis(150);
+/// The number of idle connections that exhaust the sockets of a dispatcher, as a multiple of its
+/// socket limit.
+const CONNECTIONS_PER_SOCKET: usize = 2;
+
+/// Injects the faults of a schedule. Returns when the last fault is over.
+pub fn inject(fleet: &Arc<TestFleet>, schedule: &Schedule) {
+    let mut running = Vec::new();
+    for &(begins_at, fault) in schedule {
+        std::thread::sleep(
+            (fleet.started_at + begins_at).saturating_duration_since(Instant::now()),
+        );
+        let fleet = fleet.clone();
+        running.push(std::thread::spawn(move || inject_fault(&fleet, fault)));
+    }
+    for fault in running {
+        if fault.join().is_err() {
+            fleet.record_violation("the thread of a fault has panicked".into());
+        }
+    }
+}
+
+fn every_nth(fleet: &TestFleet, n: usize) -> impl Iterator<Item = &Dispatcher> {
+    let dispatchers = fleet.dispatchers.iter();
+    dispatchers.filter(move |dispatcher| dispatcher.number % n == 0)
+}
+
+fn inject_fault(fleet: &TestFleet, fault: Fault) {
+    match fault {
+        Fault::Kill { one_in, downtime } => kill(fleet, one_in, downtime),
+        Fault::Restart {
+            dispatcher,
+            sighup,
+            second_sigterm,
+        } => restart(
+            fleet,
+            &fleet.dispatchers[dispatcher],
+            sighup,
+            second_sigterm,
+        ),
+        Fault::Suspend {
+            dispatcher,
+            duration,
+        } => {
+            let dispatcher = &fleet.dispatchers[dispatcher];
+            dispatcher.signal("-STOP");
+            std::thread::sleep(duration);
+            dispatcher.signal("-CONT");
+        }
+        Fault::DiscoveryDown {
+            duration,
+            failure,
+            failure_delay,
+        } => {
+            fleet.service.go_down(failure, failure_delay);
+            std::thread::sleep(duration);
+            fleet.service.come_up();
+        }
+        Fault::DiscoveryOverloaded {
+            call_cost,
+            failure,
+            duration,
+        } => {
+            let cost = Cost {
+                per_call: call_cost,
+                ..USUAL_COST
+            };
+            fleet.service.set_cost(cost, failure);
+            std::thread::sleep(duration);
+            fleet.service.set_cost(USUAL_COST, failure);
+        }
+        Fault::WatchesLost { one_in, loss } => {
+            every_nth(fleet, one_in).for_each(|dispatcher| dispatcher.link.lose_watches(loss));
+        }
+        Fault::ChangesDelayed { one_in, delay } => {
+            every_nth(fleet, one_in).for_each(|dispatcher| dispatcher.link.delay_changes(delay));
+        }
+        Fault::CallsFail {
+            one_in,
+            fault,
+            duration,
+        } => {
+            every_nth(fleet, one_in)
+                .for_each(|dispatcher| dispatcher.link.fail_calls(fault, duration));
+        }
+        Fault::DiscoveryMoved {
+            one_in,
+            times,
+            old_address,
+        } => {
+            for _ in 0..times {
+                every_nth(fleet, one_in).for_each(|dispatcher| dispatcher.reconfigure(old_address));
+                std::thread::sleep(MOVE_INTERVAL);
+            }
+        }
+        Fault::EndpointsLeaving {
+            one_in,
+            gone,
+            return_after,
+        } => remove_endpoints(fleet, one_in, gone, return_after),
+        Fault::EndpointMisbehaves {
+            endpoint,
+            behavior,
+            duration,
+        } => {
+            fleet.endpoints.set_behavior(endpoint, behavior);
+            std::thread::sleep(duration);
+            fleet.endpoints.set_behavior(endpoint, Behavior::Serves);
+        }
+        Fault::SocketsExhausted {
+            dispatcher,
+            duration,
+        } => exhaust_sockets(fleet, &fleet.dispatchers[dispatcher], duration),
+        Fault::DisconnectBurst { duration } => {
+            fleet.disconnect_burst.store(true, Ordering::Relaxed);
+            std::thread::sleep(duration);
+            fleet.disconnect_burst.store(false, Ordering::Relaxed);
+        }
+    }
+}
+
+fn kill(fleet: &TestFleet, one_in: usize, downtime: Duration) {
+    let killed: Vec<&Dispatcher> = every_nth(fleet, one_in)
+        .filter(|dispatcher| dispatcher.claim())
+        .collect();
+    killed.iter().for_each(|dispatcher| dispatcher.kill());
+    std::thread::sleep(downtime);
+    killed
+        .iter()
+        .for_each(|dispatcher| dispatcher.launch(fleet));
+}
+
+fn restart(fleet: &TestFleet, dispatcher: &Dispatcher, sighup: bool, second_sigterm: bool) {
+    if !dispatcher.claim() {
+        return;
+    }
+    if sighup {
+        dispatcher.signal("-HUP");
+    }
+    dispatcher.terminate(fleet, second_sigterm);
+    dispatcher.launch(fleet);
+}
+
+fn remove_endpoints(fleet: &TestFleet, one_in: usize, gone: bool, return_after: Duration) {
+    let status = if gone {
+        ListedStatus::Gone
+    } else {
+        ListedStatus::Draining
+    };
+    let set_status = |status| {
+        for endpoint in (0..fleet.endpoints.count()).step_by(one_in) {
+            fleet.endpoints.set_status(endpoint, status);
+        }
+    };
+    set_status(status);
+    std::thread::sleep(return_after);
+    set_status(ListedStatus::Ready);
+}
+
+fn exhaust_sockets(fleet: &TestFleet, dispatcher: &Dispatcher, duration: Duration) {
+    let Some(address) = dispatcher.address.lock().unwrap().clone() else {
+        return;
+    };
+    let from = Instant::now();
+    let connections: Vec<TcpStream> = (0..fleet.conditions.sockets * CONNECTIONS_PER_SOCKET)
+        .filter_map(|_| TcpStream::connect(&address).ok())
+        .collect();
+    std::thread::sleep(duration);
+    drop(connections);
+    let to = Instant::now();
+    let mut exhaustions = dispatcher.socket_exhaustions.lock().unwrap();
+    exhaustions.push(SocketExhaustion { from, to });
+}
--- a/crates/test-support/src/processes/faults/mod.rs
+++ b/crates/test-support/src/processes/faults/mod.rs
@@ -1,76 +1,83 @@
-//! Random, overlapping faults: a schedule that is drawn from a seed, and how each fault is played.
+//! Random, overlapping faults: a schedule that is drawn from a seed, and the injection of each
+//! fault.
 
-mod drawing;
-mod playing;
+mod injection;
+mod schedule;
 
-pub use drawing::draw;
-pub use playing::play;
+pub use injection::inject;
+pub use schedule::draw_schedule;
 
 use super::discovery::{CallFault, OldAddress, WatchLoss};
 use super::endpoints::Behavior;
 use super::service::Failure;
 use std::time::Duration;
 
-/// A fault. `one_in` names the dispatchers or endpoints whose index it divides.
+/// A fault. It affects each dispatcher or endpoint whose index is a multiple of `one_in`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Dispatchers are killed, and started again after this time.
-    Kill { one_in: usize, down: Duration },
-    /// A dispatcher is asked to stop, killed at the earliest time at which it may be, and started
-    /// again. It gets SIGHUP before, and SIGTERM once more, where so drawn.
+    /// Dispatchers are killed, and started again after the downtime.
+    Kill { one_in: usize, downtime: Duration },
+    /// A dispatcher is asked to stop by SIGTERM, killed if it still runs at the earliest time at
+    /// which it may be killed, and started again. Optionally it receives SIGHUP before, and a
+    /// second SIGTERM.
     Restart {
         dispatcher: usize,
-        hangup: bool,
-        twice: bool,
+        sighup: bool,
+        second_sigterm: bool,
     },
-    /// A dispatcher is suspended for this time.
-    Suspend { dispatcher: usize, time: Duration },
-    /// The discovery service is down for this time; calls fail in this way after this time.
+    /// A dispatcher is suspended.
+    Suspend {
+        dispatcher: usize,
+        duration: Duration,
+    },
+    /// The discovery service is down. Calls fail after a delay.
     DiscoveryDown {
-        time: Duration,
+        duration: Duration,
         failure: Failure,
-        after: Duration,
+        failure_delay: Duration,
     },
-    /// Each call costs the discovery service so much for this time; what waits too long fails in
-    /// this way.
-    DiscoveryCrowded {
-        call: Duration,
+    /// The discovery service needs more time for each call, and calls that wait too long fail.
+    DiscoveryOverloaded {
+        call_cost: Duration,
         failure: Failure,
-        time: Duration,
+        duration: Duration,
     },
     /// The watches of some dispatchers are lost.
     WatchesLost { one_in: usize, loss: WatchLoss },
-    /// Changes come so late on the watches of some dispatchers, which go on.
-    ChangesLate { one_in: usize, late: Duration },
-    /// Calls of some dispatchers fail for this time.
+    /// Changes are delayed on the watches of some dispatchers, which still send heartbeats.
+    ChangesDelayed { one_in: usize, delay: Duration },
+    /// Calls of some dispatchers fail.
     CallsFail {
         one_in: usize,
         fault: CallFault,
-        time: Duration,
+        duration: Duration,
     },
-    /// New configurations move the discovery of some dispatchers, so many in a row.
-    Move {
+    /// New configurations move the discovery of some dispatchers, several times in a row.
+    DiscoveryMoved {
         one_in: usize,
         times: u32,
         old_address: OldAddress,
     },
-    /// Endpoints drain or are gone, and come back after this time.
+    /// Endpoints are draining or gone, and ready again after a time.
     EndpointsLeaving {
         one_in: usize,
         gone: bool,
-        back: Duration,
+        return_after: Duration,
     },
-    /// An endpoint hangs or resets connections for this time.
-    Misbehave {
+    /// An endpoint hangs or resets connections.
+    EndpointMisbehaves {
         endpoint: usize,
         behavior: Behavior,
-        time: Duration,
+        duration: Duration,
+    },
+    /// Idle connections exhaust the sockets of a dispatcher.
+    SocketsExhausted {
+        dispatcher: usize,
+        duration: Duration,
     },
-    /// Idle connections fill the sockets of a dispatcher for this time.
-    Crowd { dispatcher: usize, time: Duration },
-    /// All clients disconnect right after each request for this time.
-    DisconnectBurst { time: Duration },
+    /// All clients disconnect right after each request.
+    DisconnectBurst { duration: Duration },
 }
 
-/// When each fault begins.
+/// Faults, each with the time from the start of the run at which it begins.
 pub type Schedule = Vec<(Duration, Fault)>;
--- a/crates/test-support/src/processes/faults/drawing.rs
+++ b/crates/test-support/src/processes/faults/schedule.rs
@@ -8,34 +8,34 @@
 use fastrand::Rng;
 use std::time::Duration;
 
-/// Faults begin no earlier than this.
+/// The earliest time at which a fault begins.
 const FIRST_FAULT_MS: u64 = 500;
-/// There are so many faults, and one more for each of so many seconds.
+/// A schedule has this many faults, and one more for every `SECONDS_PER_FAULT` seconds.
 const MIN_FAULTS: u64 = 5;
 const SECONDS_PER_FAULT: u64 = 3;
-/// How often lost watches, an overloaded service and endpoints that leave come together.
+/// How many times lost watches, an overloaded discovery service and leaving endpoints are combined.
 const COMBINATIONS: u32 = 2;
 
 fn millis(rng: &mut Rng, from: u64, to: u64) -> Duration {
     Duration::from_millis(rng.u64(from..to))
 }
 
-fn failure(rng: &mut Rng) -> Failure {
+fn draw_failure(rng: &mut Rng) -> Failure {
     *rng.choice(&[Failure::Unavailable, Failure::Reset]).unwrap()
 }
 
-fn draw_leave(rng: &mut Rng) -> Fault {
+fn draw_endpoints_leaving(rng: &mut Rng) -> Fault {
     Fault::EndpointsLeaving {
         one_in: rng.usize(2..4),
         gone: rng.bool(),
-        back: millis(rng, 600, 14_000),
+        return_after: millis(rng, 600, 14_000),
     }
 }
 
 fn draw_watches_lost(rng: &mut Rng) -> Fault {
     let losses = [
         WatchLoss::Silent,
-        WatchLoss::HalfLine,
+        WatchLoss::PartialLine,
         WatchLoss::Reset,
         WatchLoss::Ended,
     ];
@@ -45,30 +45,30 @@
     }
 }
 
-fn draw_discovery_crowded(rng: &mut Rng) -> Fault {
-    Fault::DiscoveryCrowded {
-        call: millis(rng, 100, 1_500),
-        failure: failure(rng),
-        time: millis(rng, 3_000, 14_000),
+fn draw_discovery_overloaded(rng: &mut Rng) -> Fault {
+    Fault::DiscoveryOverloaded {
+        call_cost: millis(rng, 100, 1_500),
+        failure: draw_failure(rng),
+        duration: millis(rng, 3_000, 14_000),
     }
 }
 
 fn draw_discovery_down(rng: &mut Rng) -> Fault {
     let is_long = rng.u32(..4) == 0;
-    let time = if is_long {
+    let duration = if is_long {
         millis(rng, 9_000, 22_000)
     } else {
         millis(rng, 500, 9_000)
     };
-    let after = if rng.bool() {
+    let failure_delay = if rng.bool() {
         Duration::ZERO
     } else {
         Duration::from_secs(2)
     };
     Fault::DiscoveryDown {
-        time,
-        failure: failure(rng),
-        after,
+        duration,
+        failure: draw_failure(rng),
+        failure_delay,
     }
 }
 
@@ -83,30 +83,30 @@
     Fault::CallsFail {
         one_in: rng.usize(1..3),
         fault,
-        time: millis(rng, 2_000, 10_000),
+        duration: millis(rng, 2_000, 10_000),
     }
 }
 
-fn draw_move(rng: &mut Rng) -> Fault {
+fn draw_discovery_moved(rng: &mut Rng) -> Fault {
     let old_addresses = [OldAddress::Alive, OldAddress::Dead, OldAddress::Silent];
-    Fault::Move {
+    Fault::DiscoveryMoved {
         one_in: rng.usize(1..4),
         times: rng.u32(1..4),
         old_address: *rng.choice(&old_addresses).unwrap(),
     }
 }
 
-fn draw_misbehave(rng: &mut Rng, endpoints: usize) -> Fault {
+fn draw_endpoint_misbehaves(rng: &mut Rng, endpoints: usize) -> Fault {
     let endpoint = rng.usize(..endpoints);
     let behavior = if rng.bool() {
         Behavior::Resets
     } else {
         Behavior::Hangs
     };
-    Fault::Misbehave {
+    Fault::EndpointMisbehaves {
         endpoint,
         behavior,
-        time: millis(rng, 500, 4_000),
+        duration: millis(rng, 500, 4_000),
     }
 }
 
@@ -115,41 +115,42 @@
     match rng.u32(..18) {
         0 => Fault::Kill {
             one_in: rng.usize(2..5),
-            down: millis(rng, 100, 9_000),
+            downtime: millis(rng, 100, 9_000),
         },
         1 | 2 => Fault::Restart {
             dispatcher,
-            hangup: rng.bool(),
-            twice: rng.bool(),
+            sighup: rng.bool(),
+            second_sigterm: rng.bool(),
         },
         3 => Fault::Suspend {
             dispatcher,
-            time: millis(rng, 50, 150),
+            duration: millis(rng, 50, 150),
         },
         4 | 5 => draw_discovery_down(rng),
-        6 | 7 => draw_discovery_crowded(rng),
+        6 | 7 => draw_discovery_overloaded(rng),
         8 | 9 => draw_watches_lost(rng),
-        // An agent counts for what it has; late is what it does not have.
-        10 if lists == ListDelivery::Polled => Fault::ChangesLate {
+        // Not with agents: a dispatcher counts as notified at once of the list that its agent has,
+        // so changes on its watch must not be delayed.
+        10 if lists == ListDelivery::Polled => Fault::ChangesDelayed {
             one_in: rng.usize(1..3),
-            late: millis(rng, 500, 5_500),
+            delay: millis(rng, 500, 5_500),
         },
         10 | 11 => draw_calls_fail(rng),
-        12 => draw_move(rng),
-        13 | 14 => draw_leave(rng),
-        15 => draw_misbehave(rng, endpoints),
-        16 => Fault::Crowd {
+        12 => draw_discovery_moved(rng),
+        13 | 14 => draw_endpoints_leaving(rng),
+        15 => draw_endpoint_misbehaves(rng, endpoints),
+        16 => Fault::SocketsExhausted {
             dispatcher,
-            time: millis(rng, 1_000, 6_000),
+            duration: millis(rng, 1_000, 6_000),
         },
         _ => Fault::DisconnectBurst {
-            time: millis(rng, 200, 1_500),
+            duration: millis(rng, 200, 1_500),
         },
     }
 }
 
-/// Draws a schedule for a play of this length.
-pub fn draw(
+/// Draws a schedule for a run of this length.
+pub fn draw_schedule(
     seed: u64,
     length: Duration,
     dispatchers: usize,
@@ -161,16 +162,20 @@
     let latest_ms = length.as_millis() as u64 * 3 / 4;
     let mut schedule = Schedule::new();
     for _ in 0..MIN_FAULTS + length.as_secs() / SECONDS_PER_FAULT {
-        let begins = millis(rng, FIRST_FAULT_MS, latest_ms);
-        schedule.push((begins, draw_fault(rng, dispatchers, endpoints, lists)));
+        let begins_at = millis(rng, FIRST_FAULT_MS, latest_ms);
+        schedule.push((begins_at, draw_fault(rng, dispatchers, endpoints, lists)));
     }
-    // Endpoints that leave while nothing says so: drawn alone, these faults seldom meet.
+    // Endpoints that leave while dispatchers are not notified of it. These faults seldom coincide
+    // if each is drawn separately.
     for _ in 0..COMBINATIONS {
-        let begins = millis(rng, FIRST_FAULT_MS, latest_ms * 2 / 3);
-        schedule.push((begins, draw_watches_lost(rng)));
-        schedule.push((begins, draw_discovery_crowded(rng)));
-        schedule.push((begins + millis(rng, 0, 3_000), draw_leave(rng)));
+        let begins_at = millis(rng, FIRST_FAULT_MS, latest_ms * 2 / 3);
+        schedule.push((begins_at, draw_watches_lost(rng)));
+        schedule.push((begins_at, draw_discovery_overloaded(rng)));
+        schedule.push((
+            begins_at + millis(rng, 0, 3_000),
+            draw_endpoints_leaving(rng),
+        ));
     }
-    schedule.sort_by_key(|(begins, _)| *begins);
+    schedule.sort_by_key(|(begins_at, _)| *begins_at);
     schedule
 }
--- a/crates/test-support/src/processes/mod.rs
+++ b/crates/test-support/src/processes/mod.rs
@@ -1,10 +1,10 @@
-//! A fleet of real dispatcher processes on loopback under random, overlapping faults, judged by the
-//! invariants.
+//! A fleet of real dispatcher processes on loopback under random, overlapping faults.
 //!
 //! Everything around the processes is a stand-in of this crate: [`service`] is the discovery
-//! service that all share, and [`discovery`] what one dispatcher sees of it; [`endpoints`] serve
-//! the jobs that [`clients`] send. [`faults`] draws a schedule from a seed and plays it, and
-//! [`rule_checker`] checks what the endpoints and the clients have seen.
+//! service that all dispatchers share, and [`discovery`] is its interface to one dispatcher.
+//! [`endpoints`] serve the jobs that [`clients`] send. [`faults`] draws a schedule of faults from a
+//! seed and injects them, and [`rule_checker`] checks the records of the endpoints and clients
+//! against the invariants.
 
 pub mod clients;
 mod conditions;
@@ -18,6 +18,6 @@
 mod test_fleet;
 
 pub use conditions::{Conditions, ListDelivery};
-pub use dispatcher::{CrowdedTime, Dispatcher, ProcessRun};
+pub use dispatcher::{Dispatcher, ProcessRun, SocketExhaustion};
 pub use program::{field, is_ready, serve};
 pub use test_fleet::TestFleet;
--- a/crates/test-support/src/processes/program.rs
+++ b/crates/test-support/src/processes/program.rs
@@ -1,4 +1,4 @@
-//! Starts the program, reads its log, and asks whether it is ready.
+//! Starts the program, reads its log, and checks its readiness.
 
 use crate::Peer;
 use std::ffi::OsStr;
@@ -8,11 +8,11 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// Names a folder that keeps the logs of processes, in detail, if it is set.
+/// If this variable is set, detailed logs of the processes are saved to the folder that it names.
 const LOG_FOLDER_VARIABLE: &str = "FAULT_LOGS";
 
-/// Starts the program on a configuration. Returns the process and the line of its log that says
-/// where it listens.
+/// Starts the program with a configuration. Returns the process, and the line of its log that names
+/// the addresses that it listens on, if it listens.
 pub fn serve(program: &Path, config: &Path, arguments: &[&OsStr]) -> (Child, Option<String>) {
     let log_folder = std::env::var_os(LOG_FOLDER_VARIABLE);
     let mut command = Command::new(program);
@@ -30,16 +30,16 @@
         .lines()
         .map_while(Result::ok);
     let file = log_folder.and_then(|folder| log_file(Path::new(&folder), config, child.id()));
-    let keep = move |line: &str| {
-        // A log that can't be kept fails no test.
+    let save_line = move |line: &str| {
+        // A log that cannot be saved does not fail the test.
         let _ = file.as_ref().map(|mut file| writeln!(file, "{line}"));
     };
-    let listens = log
+    let listening_line = log
         .by_ref()
-        .inspect(|line| keep(line))
+        .inspect(|line| save_line(line))
         .find(|line| line.contains("dispatcher is listening"));
-    std::thread::spawn(move || log.for_each(|line| keep(&line)));
-    (child, listens)
+    std::thread::spawn(move || log.for_each(|line| save_line(&line)));
+    (child, listening_line)
 }
 
 fn log_file(folder: &Path, config: &Path, process: u32) -> Option<File> {
@@ -47,7 +47,7 @@
     File::create(folder.join(name)).ok()
 }
 
-/// A field of a line of the log.
+/// The value of a field in a line of the log.
 pub fn field(line: &str, name: &str) -> Option<String> {
     let value = line.split_once(&format!(" {name}="))?.1;
     Some(value.split_whitespace().next()?.to_owned())
--- a/crates/test-support/src/processes/rule_checker.rs
+++ b/crates/test-support/src/processes/rule_checker.rs
@@ -1,91 +1,93 @@
-//! Checks the invariants over what the endpoints and the clients have seen in a play.
+//! Checks the records of the endpoints and clients of a run against the invariants.
 
-use super::clients::{Connection, End, Sent};
+use super::clients::{Connection, RequestEnd, SentRequest};
 use super::discovery::{ChangeToNotify, NotificationLimits};
 use super::endpoints::{Arrival, ListChange, ListedStatus};
 use super::{ProcessRun, TestFleet};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Within what time a change of the list counts as notified.
+/// The times after which a dispatcher counts as notified of a change of the list.
 const NOTIFICATION_LIMITS: NotificationLimits = NotificationLimits {
     after_reachable: Duration::from_secs(6),
     after_move: Duration::from_secs(4),
 };
-/// Nothing goes to an endpoint later than this after a dispatcher was notified that it leaves.
+/// A dispatcher sends nothing to an endpoint later than this after it was notified that the endpoint
+/// leaves.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// A response comes no later than this after the client's remaining time.
+/// A response arrives no later than this after the end of the client's remaining time.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// No attempt begins later than this after its client has disconnected.
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(100);
-/// A client that stops in the middle of a request gets an error or a close within this time.
+/// A client that stops in the middle of a request receives an error response, or its connection is
+/// closed, within this time.
 const INCOMPLETE_REQUEST_LIMIT: Duration = Duration::from_secs(3);
-/// An endpoint is given at most this much more than the client's remaining time.
+/// The remaining time that is sent to an endpoint exceeds the client's by at most this.
 const MAX_REMAINING_EXCESS: Duration = Duration::from_millis(150);
-/// What a busy machine may add to each of these before we see it.
+/// The delay that a busy machine may add to each measurement.
 const MEASUREMENT_SLACK: Duration = Duration::from_millis(250);
 
-/// The result of a play.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct RuleReport {
     /// How many requests were sent.
     pub requests: usize,
     /// How many of them were served.
     pub served: usize,
-    /// Each broken invariant, with its time in seconds.
-    pub broken: Vec<String>,
+    /// The violations of invariants, each with its time in seconds.
+    pub violations: Vec<String>,
 }
 
-/// Judges a play that is over.
-pub fn check_rules(world: &TestFleet, sent: &[Sent]) -> RuleReport {
-    let mut judge = Judge {
-        world,
-        broken: std::mem::take(&mut *world.broken.lock().unwrap()),
+/// Checks a run that has ended.
+pub fn check_rules(fleet: &TestFleet, sent: &[SentRequest]) -> RuleReport {
+    let mut checker = RuleChecker {
+        fleet,
+        violations: std::mem::take(&mut *fleet.violations.lock().unwrap()),
     };
-    let by_id: HashMap<&str, &Sent> = sent
+    let by_id: HashMap<&str, &SentRequest> = sent
         .iter()
         .map(|request| (request.id.as_str(), request))
         .collect();
-    let arrivals = world.endpoints.arrivals();
+    let arrivals = fleet.endpoints.arrivals();
     let mut forwarded: HashMap<&str, &Arrival> = HashMap::new();
     for arrival in &arrivals {
         let Some(request) = by_id.get(arrival.id.as_str()) else {
             continue;
         };
         let is_repeated = forwarded.insert(&arrival.id, arrival).is_some();
-        judge.check_arrival(request, arrival, is_repeated);
+        checker.check_arrival(request, arrival, is_repeated);
     }
     for request in sent {
         let is_forwarded = forwarded.contains_key(request.id.as_str());
-        judge.check_end(request, is_forwarded);
+        checker.check_end(request, is_forwarded);
     }
     RuleReport {
         requests: sent.len(),
         served: sent.iter().filter(|request| is_served(request)).count(),
-        broken: judge.broken,
+        violations: checker.violations,
     }
 }
 
-fn is_served(request: &Sent) -> bool {
-    matches!(&request.end, End::Response(line) if line.contains(" 200 "))
+fn is_served(request: &SentRequest) -> bool {
+    matches!(&request.end, RequestEnd::Response(line) if line.contains(" 200 "))
 }
 
-struct Judge<'a> {
-    world: &'a TestFleet,
-    broken: Vec<String>,
+struct RuleChecker<'a> {
+    fleet: &'a TestFleet,
+    violations: Vec<String>,
 }
 
-impl Judge<'_> {
-    fn breaks(&mut self, at: Instant, description: String) {
-        let at = (at - self.world.start).as_secs_f64();
-        self.broken.push(format!("{at:.3} {description}"));
+impl RuleChecker<'_> {
+    fn record_violation(&mut self, at: Instant, description: String) {
+        let at = (at - self.fleet.started_at).as_secs_f64();
+        self.violations.push(format!("{at:.3} {description}"));
     }
 
-    fn check_arrival(&mut self, request: &Sent, arrival: &Arrival, is_repeated: bool) {
+    fn check_arrival(&mut self, request: &SentRequest, arrival: &Arrival, is_repeated: bool) {
         let (id, endpoint) = (&arrival.id, arrival.endpoint);
         if let Some(late) = self.late_after_notification(request, arrival) {
             let dispatcher = request.dispatcher;
-            self.breaks(
+            self.record_violation(
                 arrival.at,
                 format!(
                     "drain: {id} went from d{dispatcher} to w{endpoint:02} {late:?} after the notification"
@@ -94,40 +96,44 @@
         }
         if is_repeated && request.is_non_idempotent {
             let description = format!("duplicate: {id} ran again, on w{endpoint:02}");
-            self.breaks(arrival.at, description);
+            self.record_violation(arrival.at, description);
         }
         let remaining = (request.at + request.remaining).saturating_duration_since(arrival.at);
         let max_remaining = remaining + MAX_REMAINING_EXCESS + MEASUREMENT_SLACK;
         if let Some(given) = arrival.remaining.filter(|&given| given > max_remaining) {
-            self.breaks(
+            self.record_violation(
                 arrival.at,
                 format!("deadline: {id} was given {given:?}, {remaining:?} remaining"),
             );
         }
         let latest = request.ended_at + MAX_DISCONNECT_DELAY + MEASUREMENT_SLACK;
-        if request.end == End::Disconnected && arrival.at > latest {
+        if request.end == RequestEnd::Disconnected && arrival.at > latest {
             let description = format!("lost: {id} was sent on after its client had disconnected");
-            self.breaks(arrival.at, description);
+            self.record_violation(arrival.at, description);
         }
     }
 
-    fn check_end(&mut self, request: &Sent, is_forwarded: bool) {
+    fn check_end(&mut self, request: &SentRequest, is_forwarded: bool) {
         if let Some(reason) = self.unanswered(request, is_forwarded) {
             let description = format!("lost: {} at d{}: {reason}", request.id, request.dispatcher);
-            self.breaks(request.at, description);
+            self.record_violation(request.at, description);
         }
     }
 
-    /// The process of a dispatcher at this time.
+    /// The process of a dispatcher that was started last before this time.
     fn process_run(&self, dispatcher: usize, at: Instant) -> Option<ProcessRun> {
-        let runs = self.world.dispatchers[dispatcher].runs.lock().unwrap();
+        let runs = self.fleet.dispatchers[dispatcher].runs.lock().unwrap();
         let mut latest_first = runs.iter().rev();
         latest_first.find(|run| run.started_at <= at).copied()
     }
 
-    /// How long after the notification that its endpoint leaves a request arrived there, if it was
-    /// later than the grace allows.
-    fn late_after_notification(&self, request: &Sent, arrival: &Arrival) -> Option<Duration> {
+    /// The time from the notification that an endpoint leaves until a request arrived there, if it
+    /// is longer than the grace.
+    fn late_after_notification(
+        &self,
+        request: &SentRequest,
+        arrival: &Arrival,
+    ) -> Option<Duration> {
         let leaves = self.leaving_change(arrival)?;
         let process_started_at = self.process_run(request.dispatcher, request.at)?.started_at;
         let change = ChangeToNotify {
@@ -135,15 +141,15 @@
             changed_at: leaves.at,
             version: leaves.version,
         };
-        let link = &self.world.dispatchers[request.dispatcher].link;
+        let link = &self.fleet.dispatchers[request.dispatcher].link;
         let notified_at = link.notified_at(&change, &NOTIFICATION_LIMITS)?;
         let latest = notified_at.max(process_started_at) + DRAIN_GRACE + MEASUREMENT_SLACK;
         (arrival.at > latest).then(|| arrival.at - notified_at)
     }
 
-    /// The change since which the endpoint of an arrival leaves; none if it is ready.
+    /// The change by which the endpoint of an arrival left; none if the endpoint was ready.
     fn leaving_change(&self, arrival: &Arrival) -> Option<ListChange> {
-        let changes = self.world.endpoints.changes();
+        let changes = self.fleet.endpoints.changes();
         changes
             .into_iter()
             .rev()
@@ -152,8 +158,8 @@
             .last()
     }
 
-    /// Why a request counts as lost.
-    fn unanswered(&self, request: &Sent, is_forwarded: bool) -> Option<&'static str> {
+    /// The reason why a request counts as lost, if it does.
+    fn unanswered(&self, request: &SentRequest, is_forwarded: bool) -> Option<&'static str> {
         let run = self.process_run(request.dispatcher, request.at)?;
         let seen_until = request.ended_at + MEASUREMENT_SLACK;
         let was_killed = run
@@ -170,24 +176,27 @@
         let latest = request.at + request.remaining + MAX_RESPONSE_DELAY + MEASUREMENT_SLACK;
         let is_late = request.ended_at > latest;
         match request.end {
-            End::NoResponse if was_killed => Some("no response when the process was killed"),
-            End::NoResponse if is_late => Some("no response"),
-            // It may cross the close of a connection between two requests, and is not read.
-            End::NoResponse if request.connection == Connection::Kept && !is_forwarded => None,
-            End::NoResponse if !is_forwarded && self.is_crowded(request) => None,
-            End::NoResponse => Some("closed without a response"),
-            End::Response(_) if is_late => Some("response too late"),
+            RequestEnd::NoResponse if was_killed => Some("no response when the process was killed"),
+            RequestEnd::NoResponse if is_late => Some("no response"),
+            // The dispatcher may close an idle connection while a request is on its way; the request
+            // is then not read.
+            RequestEnd::NoResponse if request.connection == Connection::Reused && !is_forwarded => {
+                None
+            }
+            RequestEnd::NoResponse if !is_forwarded && self.sockets_are_exhausted(request) => None,
+            RequestEnd::NoResponse => Some("closed without a response"),
+            RequestEnd::Response(_) if is_late => Some("response too late"),
             _ => None,
         }
     }
 
-    /// Whether idle connections filled the dispatcher's sockets then. New ones may be closed
-    /// unread.
-    fn is_crowded(&self, request: &Sent) -> bool {
-        let dispatcher = &self.world.dispatchers[request.dispatcher];
-        let times = dispatcher.crowded_times.lock().unwrap();
-        times
-            .iter()
-            .any(|time| time.from <= request.ended_at && request.at <= time.to + MEASUREMENT_SLACK)
+    /// Whether idle connections exhausted the dispatcher's sockets during a request. New connections
+    /// may then be closed without being read.
+    fn sockets_are_exhausted(&self, request: &SentRequest) -> bool {
+        let dispatcher = &self.fleet.dispatchers[request.dispatcher];
+        let exhaustions = dispatcher.socket_exhaustions.lock().unwrap();
+        exhaustions.iter().any(|period| {
+            period.from <= request.ended_at && request.at <= period.to + MEASUREMENT_SLACK
+        })
     }
 }
--- a/crates/test-support/src/processes/service.rs
+++ b/crates/test-support/src/processes/service.rs
@@ -1,11 +1,11 @@
-//! The discovery service that all dispatchers share. It serves calls one after the other, at a cost
-//! that faults raise, and it can be down.
+//! The discovery service that all dispatchers share. It serves one call at a time, and faults can
+//! make calls slower or take the service down.
 
 use super::endpoints::Endpoints;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A call that waits longer than this for its turn fails, and costs the service all the same.
+/// A call that waits longer than this for its turn fails, but still takes its time of the service.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// How a call fails.
@@ -13,29 +13,29 @@
 pub enum Failure {
     /// The response is a 503.
     Unavailable,
-    /// Its connection is reset.
+    /// The connection is reset.
     Reset,
 }
 
-/// The time that a call takes the service.
+/// The time that the service needs for a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     /// For each call.
-    pub call: Duration,
+    pub per_call: Duration,
     /// For each line of its response.
-    pub line: Duration,
+    pub per_line: Duration,
 }
 
-/// The usual cost: a small fleet is served at once.
+/// The usual cost, at which a small fleet is served without waiting.
 pub const USUAL_COST: Cost = Cost {
-    call: Duration::from_millis(2),
-    line: Duration::from_micros(100),
+    per_call: Duration::from_millis(2),
+    per_line: Duration::from_micros(100),
 };
 
-/// A time during which the service is up.
+/// A period in which the service is up.
 struct UpTime {
     from: Instant,
-    /// None while it lasts.
+    /// None while the service is still up.
     to: Option<Instant>,
 }
 
@@ -43,11 +43,11 @@
 #[derive(Clone, Copy)]
 struct Outage {
     failure: Failure,
-    /// How long a call takes to fail.
+    /// The time after which a call fails.
     delay: Duration,
 }
 
-/// The service.
+/// The discovery service.
 pub struct DiscoveryService {
     /// The endpoints that it lists.
     pub endpoints: Arc<Endpoints>,
@@ -58,9 +58,9 @@
     up_times: Vec<UpTime>,
     outage: Outage,
     cost: Cost,
-    /// How calls fail that wait too long.
+    /// How calls that wait too long fail.
     overload_failure: Failure,
-    /// When all calls so far are served.
+    /// When all calls so far will have been served.
     free_at: Instant,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl DiscoveryService {
-    /// A service that is up.
+    /// Creates a service that is up.
     pub fn start(endpoints: Arc<Endpoints>) -> Arc<DiscoveryService> {
         let now = Instant::now();
         let state = State {
@@ -100,8 +100,8 @@
         })
     }
 
-    /// Waits for the turn of a call whose response has so many lines.
-    pub fn take_turn(&self, lines: usize) -> Result<(), Failure> {
+    /// Waits until the service has served a call whose response has this many lines.
+    pub fn wait_for_turn(&self, lines: usize) -> Result<(), Failure> {
         let turn = self.enqueue(lines).map_err(|outage| {
             std::thread::sleep(outage.delay);
             outage.failure
@@ -126,7 +126,7 @@
             return Err(state.outage);
         }
         let begins_at = state.free_at.max(arrived_at);
-        state.free_at = begins_at + state.cost.call + state.cost.line * lines as u32;
+        state.free_at = begins_at + state.cost.per_call + state.cost.per_line * lines as u32;
         let waits_too_long = begins_at - arrived_at > MAX_WAIT;
         Ok(Turn {
             ends_at: state.free_at,
@@ -139,7 +139,7 @@
         self.state.lock().unwrap().is_up()
     }
 
-    /// Takes it down: its watches end, and calls fail in this way after this delay.
+    /// Takes it down: its watches end, and calls fail after this delay.
     pub fn go_down(&self, failure: Failure, delay: Duration) {
         let mut state = self.state.lock().unwrap();
         if let Some(last) = state.up_times.last_mut() {
@@ -159,19 +159,19 @@
         }
     }
 
-    /// Sets the cost of calls from now on, and how those fail that wait too long.
+    /// Sets the cost of calls from now on, and how calls that wait too long fail.
     pub fn set_cost(&self, cost: Cost, overload_failure: Failure) {
         let mut state = self.state.lock().unwrap();
         state.cost = cost;
         state.overload_failure = overload_failure;
     }
 
-    /// When the service was first up with a change that was made at this time; none if it has not
-    /// been up since.
+    /// The first time at which the service was up with a change that was made at this time; none if
+    /// it has not been up since.
     pub fn reachable_from(&self, changed_at: Instant) -> Option<Instant> {
         let state = self.state.lock().unwrap();
         let mut up_times = state.up_times.iter();
-        let first = up_times.find(|time| time.to.is_none_or(|to| to > changed_at))?;
+        let first = up_times.find(|up_time| up_time.to.is_none_or(|to| to > changed_at))?;
         Some(first.from.max(changed_at))
     }
 }
--- a/crates/test-support/src/processes/test_fleet.rs
+++ b/crates/test-support/src/processes/test_fleet.rs
@@ -1,4 +1,4 @@
-//! Everything in one play: the dispatchers and the stand-ins around them.
+//! A fleet of dispatchers and the stand-ins around them.
 
 use super::endpoints::Endpoints;
 use super::service::DiscoveryService;
@@ -8,11 +8,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Everything in one play.
+/// A fleet of dispatchers and the stand-ins around them, for one test run.
 pub struct TestFleet {
-    /// When it began.
-    pub start: Instant,
-    /// What holds throughout.
+    /// When the run began.
+    pub started_at: Instant,
+    /// The parameters of the run.
     pub conditions: Conditions,
     /// The endpoints and the list of them.
     pub endpoints: Arc<Endpoints>,
@@ -20,17 +20,17 @@
     pub service: Arc<DiscoveryService>,
     /// The dispatchers.
     pub dispatchers: Vec<Dispatcher>,
-    /// Clients begin no more requests.
-    pub over: AtomicBool,
-    /// Clients disconnect right after each request.
+    /// Whether clients send no more requests.
+    pub clients_stopped: AtomicBool,
+    /// Whether clients disconnect right after each request.
     pub disconnect_burst: AtomicBool,
-    /// Invariants that were broken during the play.
-    pub broken: Mutex<Vec<String>>,
+    /// Violations of invariants that were recorded during the run.
+    pub violations: Mutex<Vec<String>>,
     pub(super) program: PathBuf,
 }
 
 impl TestFleet {
-    /// Starts so many dispatchers of this program, and endpoints.
+    /// Starts this many dispatchers, which run this program, and this many endpoints.
     pub fn start(
         program: &Path,
         dispatchers: usize,
@@ -41,27 +41,27 @@
         let service = DiscoveryService::start(endpoints.clone());
         let dispatcher = |number| Dispatcher::new(number, dispatchers, service.clone(), conditions);
         let dispatchers = (0..dispatchers).map(dispatcher).collect();
-        let world = Arc::new(TestFleet {
-            start: Instant::now(),
+        let fleet = Arc::new(TestFleet {
+            started_at: Instant::now(),
             conditions,
             endpoints,
             service,
             dispatchers,
-            over: AtomicBool::new(false),
+            clients_stopped: AtomicBool::new(false),
             disconnect_burst: AtomicBool::new(false),
-            broken: Mutex::default(),
+            violations: Mutex::default(),
             program: program.to_owned(),
         });
-        for dispatcher in &world.dispatchers {
-            dispatcher.launch(&world);
+        for dispatcher in &fleet.dispatchers {
+            dispatcher.launch(&fleet);
         }
-        world
+        fleet
     }
 
-    /// Notes that an invariant is broken.
+    /// Records the violation of an invariant, with the current time.
     pub fn record_violation(&self, description: String) {
-        let at = self.start.elapsed().as_secs_f64();
-        self.broken
+        let at = self.started_at.elapsed().as_secs_f64();
+        self.violations
             .lock()
             .unwrap()
             .push(format!("{at:.3} {description}"));
