--- a/crates/test-support/src/gearman.rs
+++ b/crates/test-support/src/gearman.rs
@@ -1,6 +1,6 @@
-//! Gearman packets as text, and a worker that echoes.
+//! Gearman packets as text, and a worker that echoes its jobs.
 //!
-//! A packet is written `[NAME argument|argument]`, both in scenarios and in error messages.
+//! Scenarios write a packet as `[NAME argument|argument]`.
 
 use crate::Peer;
 use std::net::{SocketAddr, TcpStream};
@@ -40,7 +40,7 @@
     ("JOB_ASSIGN_UNIQ", 31),
 ];
 
-/// The name of a packet type, or `?`.
+/// The name of a packet type; `?` if it is unknown.
 pub(crate) fn type_name(number: u32) -> &'static str {
     PACKET_TYPES
         .iter()
@@ -52,16 +52,16 @@
     PACKET_TYPES
         .iter()
         .find(|(known, _)| *known == name)
-        .unwrap_or_else(|| panic!("no packet {name}"))
+        .unwrap_or_else(|| panic!("unknown packet type {name:?}"))
         .1
 }
 
-/// Splits the inside of a packet's text into its name and its arguments.
+/// Splits the text of a packet, without its brackets, into its name and its arguments.
 pub(crate) fn split_text(inside: &str) -> (&str, &str) {
     inside.split_once(' ').unwrap_or((inside, ""))
 }
 
-/// The bytes of a packet that is sent to the dispatcher.
+/// Encodes a packet that is sent to the dispatcher.
 pub(crate) fn encode(text: &str) -> Vec<u8> {
     let inside = text.trim_start_matches('[').trim_end_matches(']');
     let (name, arguments) = split_text(inside);
@@ -83,8 +83,8 @@
         .collect()
 }
 
-/// Runs a Gearman worker until its session ends. It takes this long for each job, and its result is
-/// the job's workload.
+/// Runs a Gearman worker until its session ends. It spends this time on each job, and the result of
+/// a job is its workload.
 pub fn run_gearman_echo_worker(address: SocketAddr, job_duration: Duration) {
     let Ok(stream) = TcpStream::connect(address) else {
         return;
--- a/crates/test-support/src/peer.rs
+++ b/crates/test-support/src/peer.rs
@@ -1,5 +1,5 @@
-//! One side of a connection: it sends what a scenario says, reads HTTP messages and Gearman
-//! packets, and compares them with a pattern.
+//! One side of a connection: it sends the messages of a scenario, reads HTTP messages and Gearman
+//! packets, and compares them with patterns.
 
 use crate::gearman;
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 
 /// How long a peer waits for what it expects.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(8);
-/// How often it looks for a connection.
+/// How often a listener is polled for a connection.
 const ACCEPT_POLL: Duration = Duration::from_millis(2);
 const READ_SIZE: usize = 4096;
 const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -20,7 +20,7 @@
 pub struct Peer {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// `X-Txn` of the request that was read last.
+    /// The `X-Txn` header of the message that was read last.
     request_id: String,
 }
 
@@ -39,7 +39,7 @@
     /// Sends a message, in the language of [`scenario`](crate::scenario).
     pub fn send(&mut self, message: &str) {
         let bytes = self.encode(message);
-        // The other side may have closed already, which the next expectation shows.
+        // If the other side has closed the connection, the next expectation fails.
         let _ = self.stream.write_all(&bytes);
     }
 
@@ -56,11 +56,11 @@
             ["json", ..] => json_response(&message["json ".len()..]).into_bytes(),
             ["raw", ..] => unescape(&message["raw ".len()..]).into_bytes(),
             _ if message.starts_with('[') => gearman::encode(message),
-            _ => panic!("nothing to send in {message:?}"),
+            _ => panic!("not a message: {message:?}"),
         }
     }
 
-    /// A whole response to the request that was read last.
+    /// A complete response to the request that was read last.
     fn done_response(&self, result: &str) -> String {
         let id = &self.request_id;
         let line = format!(r#"{{"id":"{id}","from":"w","state":"done","result":"{result}"}}"#);
@@ -80,14 +80,14 @@
         if matches_message(pattern, &message) {
             Ok(HashMap::new())
         } else {
-            Err(format!("got {message:?}"))
+            Err(format!("received {message:?}"))
         }
     }
 
     fn expect_end(&mut self) -> Result<HashMap<String, String>, String> {
         if self.read_more()? {
             let buffer = self.buffer_text();
-            return Err(format!("more came: {buffer:?}"));
+            return Err(format!("expected the end, received {buffer:?}"));
         }
         Ok(HashMap::new())
     }
@@ -107,7 +107,7 @@
             || expected.len() != arguments.len()
             || !expected.iter().zip(&arguments).all(is_equal)
         {
-            return Err(format!("got {name} {arguments:?}"));
+            return Err(format!("received {name} {arguments:?}"));
         }
         let variable = |(expected, argument): (&&str, String)| {
             let name = expected.strip_prefix('$')?;
@@ -120,7 +120,8 @@
             .collect())
     }
 
-    /// Reads one HTTP message, a request or a response whose length is declared.
+    /// Reads one HTTP message: a request or response whose body length, if any, is given by
+    /// `Content-Length`.
     pub fn read_message(&mut self) -> Result<String, String> {
         let head_length = self.read_head()?;
         let head = String::from_utf8_lossy(&self.buffer[..head_length]).to_lowercase();
@@ -158,7 +159,7 @@
         Ok((name, arguments))
     }
 
-    /// Reads text up to an end, with which the text that has arrived must end.
+    /// Reads text until the received text ends with `end`. No text may follow it.
     pub fn read_until(&mut self, end: &str) -> String {
         while !self.buffer.ends_with(end.as_bytes()) {
             self.read_to(self.buffer.len() + 1).unwrap();
@@ -169,13 +170,13 @@
     fn read_to(&mut self, length: usize) -> Result<(), String> {
         while self.buffer.len() < length {
             if !self.read_more()? {
-                return Err(format!("closed; so far {:?}", self.buffer_text()));
+                return Err(format!("closed after {:?}", self.buffer_text()));
             }
         }
         Ok(())
     }
 
-    /// Reads once. Returns whether anything came before the end.
+    /// Reads once. Returns whether anything was read; false if the connection is closed or reset.
     fn read_more(&mut self) -> Result<bool, String> {
         let mut part = [0; READ_SIZE];
         match self.stream.read(&mut part) {
@@ -184,7 +185,7 @@
                 Ok(length > 0)
             }
             Err(error) if error.kind() == ErrorKind::ConnectionReset => Ok(false),
-            Err(error) => Err(format!("{error}; so far {:?}", self.buffer_text())),
+            Err(error) => Err(format!("{error} after {:?}", self.buffer_text())),
         }
     }
 
@@ -197,7 +198,7 @@
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Whether the other side has closed, or has sent something unasked.
+    /// Whether the other side has closed the connection, or has sent something.
     pub fn is_closed(&self) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let peeked = self.stream.peek(&mut [0]);
@@ -205,7 +206,7 @@
         !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Sends chunks of a single byte, one per interval, until it is over or the other side closes.
+    /// Sends chunks of a single byte, one per interval, until `is_over` or the other side closes.
     pub(crate) fn trickle(&mut self, interval: Duration, is_over: impl Fn() -> bool) {
         while !is_over() && self.stream.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::sleep(interval);
@@ -226,7 +227,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// A chunk that holds this line.
+/// A chunk that contains this line.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
@@ -238,7 +239,7 @@
         .replace("\\0", "\0")
 }
 
-/// Whether an HTTP message has the status, or the method and path, and the texts of a pattern.
+/// Whether an HTTP message matches the status, or the method and path, and the texts of a pattern.
 fn matches_message(pattern: &str, message: &str) -> bool {
     let mut parts = pattern.split(' ');
     let first = parts.next().unwrap_or_default();
@@ -247,14 +248,14 @@
     } else {
         format!("{first} {}", parts.next().unwrap_or_default())
     };
-    let holds = |part: &str| match part.strip_prefix('!') {
+    let matches_part = |part: &str| match part.strip_prefix('!') {
         Some(part) => !message.contains(part),
         None => message.contains(&part.replace("\\x20", " ").replace("\\x09", "\t")),
     };
-    message.starts_with(&start) && parts.all(holds)
+    message.starts_with(&start) && parts.all(matches_part)
 }
 
-/// Serves each connection to a listener on a thread of its own, for as long as the test runs.
+/// Serves each connection to a listener on a separate thread, for as long as the test runs.
 pub fn serve_each(listener: TcpListener, serve: impl Fn(Peer) + Clone + Send + 'static) {
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -264,7 +265,7 @@
     });
 }
 
-/// Waits for a connection; none if nobody connects.
+/// Waits for a connection; none after a timeout.
 pub(crate) fn accept(listener: &TcpListener) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
     let end = Instant::now() + TIMEOUT;
--- a/crates/test-support/src/scenario.rs
+++ b/crates/test-support/src/scenario.rs
@@ -1,24 +1,23 @@
-//! A small language for scenarios on loopback: a line for each step of a peer.
+//! A small language for message exchanges on loopback. Each line is a step of one peer.
 //!
 //! ```text
 //! c send POST /rate-push/k t1 5000 body   a client's request: path, X-Txn, X-Remaining-Ms, body
 //! g send [SUBMIT_JOB rate-push|u1|body]   a Gearman packet; names of Gearman peers start with g
 //! w1 wait a                               endpoint w1 accepts a connection, whose peer is called a
-//! a expect POST /rate-push/k t1           a request: start of its first line, and texts in it;
-//!                                         `!text` for what is not in it, `\x20` for a blank and
+//! a expect POST /rate-push/k t1           a request: method, start of its path, and texts in
+//!                                         it; `!text` for text not in it, `\x20` for a space and
 //!                                         `\x09` for a tab
 //! a send 200                              the head of a chunked response
 //! a send + {"id":"t1","from":"w1",…}      a line of it; `a send .` ends it
-//! a send json {…}                         a whole response with this body
-//! a send done 42                          head, last line and end, for the request read last
+//! a send json {…}                         a complete response with this body
+//! a send done 42                          a complete response to the request read last
 //! c expect 200 42                         a response: its status, and texts in it
-//! g expect [JOB_CREATED $h]               a packet; * matches anything, $h binds it for later use
-//! c send raw text\r\n                     as it stands
+//! g expect [JOB_CREATED $h]               a packet; * matches any argument, $h binds it for later
+//! c send raw text\r\n                     these characters, with escapes replaced
 //! c close                                 c expect end: the other side has closed
 //! ```
 //!
-//! A peer that is not there yet connects to the dispatcher. Each `expect` and `wait` fails after
-//! some seconds.
+//! A peer without a connection connects to the dispatcher. Each `expect` and `wait` has a timeout.
 
 use crate::listing::endpoint_line;
 use crate::peer::{Peer, TIMEOUT, accept};
@@ -31,7 +30,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc::UnboundedReceiver, mpsc::UnboundedSender, oneshot};
 
-/// The settings of the scenarios: no health checks, one zone, no slow start.
+/// The settings of scenarios: no health checks, one zone, no slow start.
 pub const SETTINGS: &str = r#"{"zones":["z"],"my-zone":"z","kinds":["k"],"resolution-us":1000,
   "lanes":[{"name":"rate-push","aim-us":500000,"deadline-us":5000000,"points":2.0,"semantics":"read_like"},
     {"name":"booking-import","aim-us":1500000,"deadline-us":6000000,"points":3.0,"semantics":"non_idempotent"}],
@@ -39,27 +38,27 @@
   "limits":{"most-tries":6,"cancel":true,"second-copies":false,"retry-after":true,
     "max-retry-after-us":2000000,"connect-timeout-us":250000,"conn-idle-us":15000000},"rules":{}}"#;
 
-/// The listener that is no endpoint, but the discovery service.
+/// The name of the listener that is the discovery service instead of an endpoint.
 const DISCOVERY: &str = "discovery";
-/// How often the endpoint set is looked at.
+/// How often the endpoint set is polled.
 const LIST_POLL: Duration = Duration::from_millis(2);
 
-/// A dispatcher on a thread of its own, and stand-ins around it.
+/// Runs scenarios with a dispatcher, which has its own thread, and stand-ins around it.
 pub struct ScenarioRunner {
-    /// Where its HTTP frontend listens.
+    /// The address of the dispatcher's HTTP frontend.
     pub http: SocketAddr,
-    /// Where its Gearman frontend listens.
+    /// The address of the dispatcher's Gearman frontend.
     pub gearman: SocketAddr,
     listeners: HashMap<String, TcpListener>,
     peers: HashMap<String, Peer>,
-    /// What the patterns of packets have bound.
+    /// The variables that patterns of packets have bound.
     variables: HashMap<String, String>,
     reload: UnboundedSender<Reload>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// A dispatcher that runs on a thread of its own.
+/// A dispatcher that runs on its own thread.
 struct RunningDispatcher {
     http: SocketAddr,
     gearman: SocketAddr,
@@ -69,13 +68,13 @@
 }
 
 impl ScenarioRunner {
-    /// A dispatcher whose bootstrap list has these endpoints. One named `discovery` is the
-    /// discovery service instead.
+    /// Starts a dispatcher whose bootstrap list has these endpoints. The name `discovery` stands for
+    /// the discovery service instead.
     pub fn new(endpoints: &[&str]) -> ScenarioRunner {
         ScenarioRunner::with_zookeeper(endpoints, None)
     }
 
-    /// The same, beside an endpoint set in ZooKeeper.
+    /// Like [`new`](ScenarioRunner::new), with an additional endpoint set in ZooKeeper.
     pub fn with_zookeeper(
         endpoints: &[&str],
         zookeeper: Option<ZooKeeperConfig>,
@@ -83,7 +82,7 @@
         ScenarioRunner::with_settings(endpoints, zookeeper, SETTINGS)
     }
 
-    /// The same, with settings of its own.
+    /// Like [`with_zookeeper`](ScenarioRunner::with_zookeeper), with other settings.
     pub fn with_settings(
         endpoints: &[&str],
         zookeeper: Option<ZooKeeperConfig>,
@@ -107,25 +106,25 @@
         }
     }
 
-    /// Plays a scenario in front of these endpoints.
+    /// Starts a dispatcher with these endpoints, and runs a scenario.
     pub fn run(endpoints: &[&str], scenario: &str) -> ScenarioRunner {
         let mut runner = ScenarioRunner::new(endpoints);
         runner.continue_with(scenario);
         runner
     }
 
-    /// Plays a further scenario.
+    /// Runs a further scenario.
     pub fn continue_with(&mut self, scenario: &str) {
         let lines = scenario.lines().map(str::trim);
         for line in lines.filter(|line| !line.is_empty() && !line.starts_with('#')) {
-            self.play_line(line);
+            self.run_line(line);
         }
     }
 
-    fn play_line(&mut self, line: &str) {
+    fn run_line(&mut self, line: &str) {
         let (peer, step) = line
             .split_once(' ')
-            .unwrap_or_else(|| panic!("{line}: no verb"));
+            .unwrap_or_else(|| panic!("{line}: no step"));
         let (verb, argument) = step.split_once(' ').unwrap_or((step, ""));
         match verb {
             "send" => {
@@ -139,11 +138,11 @@
             }
             "wait" => {
                 let stream = accept(&self.listeners[peer])
-                    .unwrap_or_else(|| panic!("{line}: nobody connected"));
+                    .unwrap_or_else(|| panic!("{line}: no connection"));
                 self.peers.insert(argument.to_owned(), Peer::new(stream));
             }
             "close" => drop(self.peers.remove(peer)),
-            _ => panic!("{line}: no such verb"),
+            _ => panic!("{line}: unknown step"),
         }
     }
 
@@ -155,7 +154,7 @@
         replaced
     }
 
-    /// A peer, which connects if it is not there yet.
+    /// The peer of this name, which is connected to the dispatcher if it has no connection yet.
     fn peer(&mut self, name: &str) -> &mut Peer {
         let address = if name.starts_with('g') {
             self.gearman
@@ -167,12 +166,12 @@
             .or_insert_with(|| Peer::new(TcpStream::connect(address).unwrap()))
     }
 
-    /// Hands a listener out, for a stand-in that acts by itself.
+    /// Removes and returns a listener, for a stand-in that the test implements itself.
     pub fn take_listener(&mut self, name: &str) -> TcpListener {
         self.listeners.remove(name).unwrap()
     }
 
-    /// Adds a listener, for endpoints that are listed elsewhere.
+    /// Adds a listener for an endpoint that is not in the bootstrap list.
     pub fn add_listener(&mut self, name: &str, listener: TcpListener) {
         self.listeners.insert(name.to_owned(), listener);
     }
@@ -182,7 +181,7 @@
         self.listeners[name].local_addr().unwrap().port()
     }
 
-    /// Reloads the configuration of the dispatcher, with discovery at this listener.
+    /// Reloads the configuration of the dispatcher, with this listener as the discovery service.
     pub fn reload(&mut self, name: &str) {
         let discovery = self.listeners[name].local_addr().unwrap().to_string();
         let reload = Reload {
@@ -192,7 +191,8 @@
         self.reload.send(reload).unwrap();
     }
 
-    /// Has a peer send chunks of a single byte, one per interval, until it is over.
+    /// Makes a peer send chunks of a single byte, one per interval, until `is_over` or the other side
+    /// closes.
     pub fn send_slowly(
         &mut self,
         peer: &str,
@@ -203,7 +203,7 @@
         std::thread::spawn(move || peer.trickle(interval, is_over))
     }
 
-    /// Waits until the endpoint set shows an endpoint in a state.
+    /// Waits until the endpoint set lists an endpoint in a state.
     pub fn wait_until_listed(&mut self, endpoint: &str, state: &str) {
         let line = format!("{endpoint}\t{state}\t");
         let end = Instant::now() + TIMEOUT;
@@ -224,7 +224,7 @@
         drop(self.stop.take());
     }
 
-    /// Waits until it has ended.
+    /// Waits until the dispatcher has exited.
     pub fn wait_for_exit(&mut self) {
         self.thread.take().unwrap().join().unwrap();
     }
@@ -253,7 +253,7 @@
     )
 }
 
-/// The configuration of a Gearman frontend, which is read from a file of its own.
+/// The configuration of a Gearman frontend, which has a separate file.
 fn gearman_config(config: &Config) -> GearmanConfig {
     let file = std::env::temp_dir().join(format!(
         "pumiceway-{}-{:?}.toml",
@@ -282,7 +282,7 @@
     }
 }
 
-/// Runs a dispatcher until it is stopped. Sends the addresses of its frontends once they listen.
+/// Runs a dispatcher until it is stopped. Sends the addresses of its frontends when they listen.
 fn serve(
     config: Config,
     addresses: mpsc::Sender<(SocketAddr, Option<SocketAddr>)>,
