--- a/crates/pumiceway/tests/command.rs
+++ b/crates/pumiceway/tests/command.rs
@@ -13,7 +13,7 @@
     path
 }
 
-fn pumiceway(arguments: &[&str], config: Option<&PathBuf>) -> Output {
+fn run_pumiceway(arguments: &[&str], config: Option<&PathBuf>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pumiceway"));
     command.args(arguments).env_clear();
     command.envs(config.map(|path| ("ROUTER_CONFIG", path)));
@@ -49,7 +49,7 @@
     for (index, (key, text)) in cases.iter().enumerate() {
         let config = write_file(&format!("bad-{index}.json"), text);
         for command in ["serve", "check-config"] {
-            let out = pumiceway(&[command], Some(&config));
+            let out = run_pumiceway(&[command], Some(&config));
             let message = String::from_utf8_lossy(&out.stderr);
             assert_eq!(out.status.code(), Some(2), "{key}: {message}");
             assert!(
@@ -59,9 +59,15 @@
         }
         std::fs::remove_file(config).unwrap();
     }
-    assert!(String::from_utf8_lossy(&pumiceway(&["serve"], None).stderr).contains("ROUTER_CONFIG"));
+    assert!(
+        String::from_utf8_lossy(&run_pumiceway(&["serve"], None).stderr).contains("ROUTER_CONFIG")
+    );
     let config = write_file("good.json", &good);
-    assert!(pumiceway(&["check-config"], Some(&config)).status.success());
+    assert!(
+        run_pumiceway(&["check-config"], Some(&config))
+            .status
+            .success()
+    );
     let gearman = [
         ("listen", "connections = 3\n"),
         ("listen", "listen = \"x\"\n"),
@@ -78,7 +84,7 @@
     ];
     for (index, (key, text)) in gearman.iter().enumerate() {
         let path = write_file(&format!("gearman-{index}.toml"), text);
-        let out = pumiceway(
+        let out = run_pumiceway(
             &["check-config", "--gearman", path.to_str().unwrap()],
             Some(&config),
         );
@@ -91,7 +97,7 @@
     }
     let deployed = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gearman.toml");
     assert!(
-        pumiceway(&["check-config", "--gearman", deployed], Some(&config))
+        run_pumiceway(&["check-config", "--gearman", deployed], Some(&config))
             .status
             .success()
     );
@@ -108,7 +114,7 @@
     );
     let address = runner.gearman.to_string();
     let console = |command: &str| {
-        let out = pumiceway(
+        let out = run_pumiceway(
             &["console", "--address", &address, "--command", command],
             None,
         );
@@ -197,11 +203,11 @@
     let mut child = serve(&config, &[("ROUTER_DISCOVERY", old)]);
     let process = child.id();
     let mut log = log_lines(&mut child);
-    let mut logs = |part: &str| log.any(|line| line.unwrap().contains(part));
-    assert!(logs("dispatcher is listening name="));
+    let mut wait_for_log = |part: &str| log.any(|line| line.unwrap().contains(part));
+    assert!(wait_for_log("dispatcher is listening name="));
     std::fs::write(&config, text.replace(old, "nowhere")).unwrap();
     send_signal(process, "-HUP");
-    assert!(logs(
+    assert!(wait_for_log(
         "the old one remains in use reason=discovery: \"nowhere\""
     ));
     std::fs::write(
@@ -211,7 +217,9 @@
     )
     .unwrap();
     send_signal(process, "-HUP");
-    assert!(logs("that take a restart to apply: settings.limits"));
+    assert!(wait_for_log(
+        "that take a restart to apply: settings.limits"
+    ));
     // On a reload the address in the file takes precedence over the variable.
     let mut request = String::new();
     BufReader::new(discovery.accept().unwrap().0)
--- a/crates/pumiceway/tests/common/mod.rs
+++ b/crates/pumiceway/tests/common/mod.rs
@@ -99,7 +99,7 @@
 
 /// Starts a worker that serves all requests. Returns its port, and a channel that receives each
 /// request.
-pub fn worker() -> (u16, Receiver<String>) {
+pub fn start_worker() -> (u16, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port();
     let (report, requests) = channel();
@@ -121,18 +121,18 @@
 }
 
 /// The files of one test, removed when dropped.
-pub struct Files {
+pub struct TestFiles {
     pub config: PathBuf,
     pub gearman: PathBuf,
 }
 
-impl Files {
+impl TestFiles {
     pub fn write(
         name: &str,
         lists: ListDelivery,
         discovery: &TcpListener,
         bootstrap_list: &str,
-    ) -> Files {
+    ) -> TestFiles {
         let file = |suffix: &str, text: String| {
             let name = format!("pumiceway-{}-{name}-{lists:?}.{suffix}", std::process::id());
             let path = std::env::temp_dir().join(name);
@@ -145,14 +145,14 @@
             r#"{{"listen":"127.0.0.1:0","discovery":"{address}","known":{bootstrap_list},"settings":{settings}}}"#
         );
         let gearman = "listen = \"127.0.0.1:0\"\n".to_owned();
-        Files {
+        TestFiles {
             config: file("json", config),
             gearman: file("toml", gearman),
         }
     }
 }
 
-impl Drop for Files {
+impl Drop for TestFiles {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.config);
         let _ = std::fs::remove_file(&self.gearman);
--- a/crates/pumiceway/tests/failed_calls.rs
+++ b/crates/pumiceway/tests/failed_calls.rs
@@ -10,7 +10,7 @@
 
 mod common;
 
-use common::{Files, Process, accept_call, worker};
+use common::{Process, TestFiles, accept_call, start_worker};
 use pumiceway_test_support::processes::ListDelivery;
 use pumiceway_test_support::{Peer, endpoint_line, listing};
 use std::net::{TcpListener, TcpStream};
@@ -104,7 +104,12 @@
 }
 
 /// Sends a request with this remaining time. Returns whether it reaches the server.
-fn is_sent(process: &Process, requests: &Receiver<String>, id: &str, remaining_ms: u64) -> bool {
+fn request_reaches_server(
+    process: &Process,
+    requests: &Receiver<String>,
+    id: &str,
+    remaining_ms: u64,
+) -> bool {
     let mut client = Peer::new(TcpStream::connect(&process.http).unwrap());
     client.send(&format!("POST /rate-push/k {id} {remaining_ms} x"));
     let response = client.read_message().unwrap();
@@ -119,9 +124,9 @@
 /// lease.
 fn run(lists: ListDelivery, failure: Failure) -> Vec<String> {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (port, requests) = worker();
+    let (port, requests) = start_worker();
     let bootstrap_list = listing(1, true, &[endpoint_line("w", port, "ready")]);
-    let files = Files::write(
+    let files = TestFiles::write(
         &format!("failed-{failure:?}"),
         lists,
         &discovery,
@@ -133,7 +138,7 @@
     watch.send(&format!("+ {}", listing(1, false, &[])));
     let last_message = Instant::now();
     assert!(
-        is_sent(&process, &requests, "first", 5_000),
+        request_reaches_server(&process, &requests, "first", 5_000),
         "{lists:?}, {failure:?}: not served with a confirmed list"
     );
     match failure {
@@ -151,7 +156,7 @@
     ] {
         let at = last_message + NOTIFIED_WITHIN + GRACE_AND_SLACK + after;
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
-        if is_sent(
+        if request_reaches_server(
             &process,
             &requests,
             &format!("late{}", after.as_secs()),
@@ -165,7 +170,7 @@
     }
     recovers.store(true, Ordering::SeqCst);
     assert!(
-        is_sent(&process, &requests, "again", 5_000),
+        request_reaches_server(&process, &requests, "again", 5_000),
         "{lists:?}, {failure:?}: not served with a renewed list"
     );
     violations
@@ -191,16 +196,16 @@
     let runs = [ListDelivery::Polled, ListDelivery::Pushed].map(|lists| {
         std::thread::spawn(move || {
             let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-            let (port, requests) = worker();
+            let (port, requests) = start_worker();
             let bootstrap_list = listing(1, true, &[endpoint_line("w", port, "ready")]);
-            let files = Files::write("late-heartbeat", lists, &discovery, &bootstrap_list);
+            let files = TestFiles::write("late-heartbeat", lists, &discovery, &bootstrap_list);
             let process = Process::start(&files.config, &files.gearman);
             let mut watch = accept_call(&discovery);
             watch.send("200");
             watch.send(&format!("+ {}", listing(1, false, &[])));
             let confirmed_at = Instant::now();
             assert!(
-                is_sent(&process, &requests, "first", 5_000),
+                request_reaches_server(&process, &requests, "first", 5_000),
                 "{lists:?}: not served with a confirmed list"
             );
             process.suspend();
@@ -215,7 +220,7 @@
             let expired_at = written_at + NOTIFIED_WITHIN + GRACE_AND_SLACK;
             std::thread::sleep(expired_at.saturating_duration_since(Instant::now()));
             assert!(
-                !is_sent(&process, &requests, "late", 100),
+                !request_reaches_server(&process, &requests, "late", 100),
                 "{lists:?}: sent {:?} after the heartbeat was written",
                 written_at.elapsed()
             );
--- a/crates/pumiceway/tests/old_platform_document.rs
+++ b/crates/pumiceway/tests/old_platform_document.rs
@@ -30,7 +30,7 @@
     "192.0.2.14:7004",
 ];
 
-fn listener() -> (TcpListener, String) {
+fn bind_listener() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, address)
@@ -38,13 +38,18 @@
 
 /// Replaces the addresses in a document by addresses of this machine. The endpoints receive only
 /// health checks.
-fn localized(document: &str, written: &str, discovery: &str, endpoints: &[String]) -> String {
-    assert!(document.contains(written));
+fn with_local_addresses(
+    document: &str,
+    discovery_in_document: &str,
+    discovery: &str,
+    endpoints: &[String],
+) -> String {
+    assert!(document.contains(discovery_in_document));
     let mut text = document
         .replace("127.0.0.1:3107", "127.0.0.1:0")
-        .replace(written, discovery);
-    for (written, address) in ADDRESSES.iter().zip(endpoints) {
-        text = text.replace(written, address);
+        .replace(discovery_in_document, discovery);
+    for (original, address) in ADDRESSES.iter().zip(endpoints) {
+        text = text.replace(original, address);
     }
     text
 }
@@ -57,20 +62,20 @@
 }
 
 /// A dispatcher process and its files. On drop the process is killed and the files are removed.
-struct Running {
+struct RunningDispatcher {
     child: Child,
     config: PathBuf,
     gearman: PathBuf,
 }
 
-impl Running {
-    fn start(document: &str) -> (Running, BufReader<ChildStderr>) {
+impl RunningDispatcher {
+    fn start(document: &str) -> (RunningDispatcher, BufReader<ChildStderr>) {
         let config = write_file("json", document);
         let gearman = write_file("toml", "listen = \"127.0.0.1:0\"\n");
         let mut child = spawn(&config, &gearman);
         kill_after_timeout(child.id());
         let log = BufReader::new(child.stderr.take().unwrap());
-        let running = Running {
+        let running = RunningDispatcher {
             child,
             config,
             gearman,
@@ -86,7 +91,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningDispatcher {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -109,7 +114,7 @@
 
 /// Accepts the next call to discovery, which must arrive before the timeout. Returns it with its
 /// path.
-fn call_in_time(discovery: TcpListener) -> (Peer, String) {
+fn accept_call_in_time(discovery: TcpListener) -> (Peer, String) {
     let (sender, calls) = channel();
     std::thread::spawn(move || {
         let mut peer = Peer::new(discovery.accept().unwrap().0);
@@ -131,7 +136,7 @@
 }
 
 /// The next line of the log that contains this text.
-fn logged(log: &mut BufReader<ChildStderr>, part: &str) -> String {
+fn next_log_line(log: &mut BufReader<ChildStderr>, part: &str) -> String {
     log.lines()
         .map(Result::unwrap)
         .find(|line| line.contains(part))
@@ -159,17 +164,18 @@
 
 #[test]
 fn old_documents_list_the_same_endpoints_and_are_reloaded_to_the_same_keys() {
-    let (discovery, address) = listener();
-    let (next_discovery, next_address) = listener();
-    let (_endpoints, endpoint_addresses): (Vec<_>, Vec<_>) = (0..4).map(|_| listener()).unzip();
-    let first = localized(
+    let (discovery, address) = bind_listener();
+    let (next_discovery, next_address) = bind_listener();
+    let (_endpoints, endpoint_addresses): (Vec<_>, Vec<_>) =
+        (0..4).map(|_| bind_listener()).unzip();
+    let first = with_local_addresses(
         FIXTURE,
         "discovery.example:8500",
         &address,
         &endpoint_addresses,
     );
-    let (running, mut log) = Running::start(&first);
-    let line = logged(&mut log, "dispatcher is listening");
+    let (running, mut log) = RunningDispatcher::start(&first);
+    let line = next_log_line(&mut log, "dispatcher is listening");
     assert_eq!(field(&line, "name").as_deref(), Some("\"router-north-1\""));
     let gearman = field(&line, "gearman").unwrap();
     let http = field(&line, "address").unwrap();
@@ -178,7 +184,7 @@
     wait_for_routes(&gearman, LISTED);
     assert!(!is_ready(&http));
 
-    let (mut watch, path) = call_in_time(discovery);
+    let (mut watch, path) = accept_call_in_time(discovery);
     assert_eq!(path, "/api/targets?stream=1&index=41");
     watch.send("200");
     watch.send(DELTA);
@@ -186,17 +192,17 @@
     wait_for_routes(&gearman, &confirmed);
     assert!(is_ready(&http));
 
-    let second = localized(
+    let second = with_local_addresses(
         RELOADED,
         "discovery-2.example:8501",
         &next_address,
         &endpoint_addresses,
     );
     running.reload(&second);
-    let line = logged(&mut log, RESTART_REQUIRED);
+    let line = next_log_line(&mut log, RESTART_REQUIRED);
     let (_, keys) = line.split_once(RESTART_REQUIRED).unwrap();
     assert_eq!(keys.trim_end(), "limits, settings.lanes, settings.rules");
-    let (_watch, path) = call_in_time(next_discovery);
+    let (_watch, path) = accept_call_in_time(next_discovery);
     assert_eq!(path, "/api/targets");
     // The list in use is newer than the one in the file.
     assert_eq!(routes(&gearman), confirmed);
--- a/crates/pumiceway/tests/restart.rs
+++ b/crates/pumiceway/tests/restart.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Files, Process, TIMEOUT, accept_call, worker};
+use common::{Process, TIMEOUT, TestFiles, accept_call, start_worker};
 use pumiceway_test_support::processes::{ListDelivery, is_ready};
 use pumiceway_test_support::{Peer, endpoint_line, listing};
 use std::net::{TcpListener, TcpStream};
@@ -14,9 +14,9 @@
 fn a_restarted_process_sends_nothing_until_discovery_confirms_its_list() {
     for lists in [ListDelivery::Polled, ListDelivery::Pushed] {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-        let ((old_port, old), (new_port, new)) = (worker(), worker());
+        let ((old_port, old), (new_port, new)) = (start_worker(), start_worker());
         let bootstrap_list = listing(1, true, &[endpoint_line("old", old_port, "ready")]);
-        let files = Files::write("restart", lists, &discovery, &bootstrap_list);
+        let files = TestFiles::write("restart", lists, &discovery, &bootstrap_list);
 
         // The first process: discovery confirms the list, and the worker on it serves.
         let process = Process::start(&files.config, &files.gearman);
--- a/crates/pumiceway/tests/site.rs
+++ b/crates/pumiceway/tests/site.rs
@@ -35,10 +35,10 @@
     }
 
     /// Runs a command until it exits.
-    fn run(&self, arguments: &str) -> Finished {
+    fn run(&self, arguments: &str) -> CommandResult {
         let out = self.command(arguments).output().unwrap();
         let output = [out.stdout, out.stderr].concat();
-        Finished {
+        CommandResult {
             success: out.status.success(),
             output: String::from_utf8(output).unwrap(),
         }
@@ -76,7 +76,7 @@
 
 /// The result of a command, with its standard output followed by its standard error.
 #[derive(Debug, PartialEq)]
-struct Finished {
+struct CommandResult {
     success: bool,
     output: String,
 }
@@ -90,7 +90,7 @@
         init.success && init.output.contains("pumiceway serve --site site.toml"),
         "{init:?}"
     );
-    let expected = Finished {
+    let expected = CommandResult {
         success: true,
         output: "pumiceway: good\n".to_owned(),
     };
@@ -135,16 +135,16 @@
     )
     .unwrap();
     for command in ["check-config", "serve"] {
-        let Finished { success, output } = site.run(&format!("{command} --site site.toml"));
+        let CommandResult { success, output } = site.run(&format!("{command} --site site.toml"));
         let message = "pumiceway: site.toml, line 27: classes.booking-import.deadline: \"20 sacks\": a time has";
         assert!(
             !success && output.starts_with(message) && output.lines().count() == 1,
             "{output}"
         );
     }
-    let Finished { success, output } = site.run("serve --site elsewhere.toml");
+    let CommandResult { success, output } = site.run("serve --site elsewhere.toml");
     assert!(!success && output.contains("pumiceway init"), "{output}");
-    let Finished { success, output } = site.run("init --yes --site new.toml --once a/b");
+    let CommandResult { success, output } = site.run("init --yes --site new.toml --once a/b");
     assert!(
         !success && output.contains("classes.a/b") && !site.directory.join("new.toml").exists(),
         "{output}"
--- a/crates/test-support/tests/fleet.rs
+++ b/crates/test-support/tests/fleet.rs
@@ -32,7 +32,7 @@
     results
 }
 
-fn polled(instances: usize, endpoints: usize, disruption: Disruption) -> Plan {
+fn polled_plan(instances: usize, endpoints: usize, disruption: Disruption) -> Plan {
     Plan {
         deployment: Deployment::Polled,
         instances,
@@ -43,17 +43,17 @@
     }
 }
 
-fn pushed(instances: usize, endpoints: usize, disruption: Disruption) -> Plan {
+fn pushed_plan(instances: usize, endpoints: usize, disruption: Disruption) -> Plan {
     Plan {
         deployment: Deployment::Pushed,
-        ..polled(instances, endpoints, disruption)
+        ..polled_plan(instances, endpoints, disruption)
     }
 }
 
-fn with_fault(fault: InjectedFault, disruption: Disruption) -> Summary {
+fn simulate_with_fault(fault: InjectedFault, disruption: Disruption) -> Summary {
     simulate(Plan {
         injected_fault: Some(fault),
-        ..polled(30, 20, disruption)
+        ..polled_plan(30, 20, disruption)
     })
 }
 
@@ -141,7 +141,7 @@
     let seeds = if soak { 1..=12 } else { 1..=1 };
     let polled_plans = sizes.iter().flat_map(|&(instances, endpoints)| {
         disruptions(Deployment::Polled)
-            .map(move |disruption| polled(instances, endpoints, disruption))
+            .map(move |disruption| polled_plan(instances, endpoints, disruption))
     });
     // For the size between the small and the large fleets, only the disruptions that change the
     // list most.
@@ -157,7 +157,7 @@
     let sizes = [(1, 3), (3, 3), (3, 9), (3, 13), (8, 13), (60, 13)];
     let pushed_plans = sizes.iter().flat_map(|&(instances, endpoints)| {
         disruptions(Deployment::Pushed)
-            .map(move |disruption| pushed(instances, endpoints, disruption))
+            .map(move |disruption| pushed_plan(instances, endpoints, disruption))
     });
     let plans = polled_plans
         .chain(pushed_plans)
@@ -200,7 +200,7 @@
         let [undisturbed, flood] = [Disruption::None, Disruption::TenantFlood].map(|disruption| {
             let seeds = (1..=4).map(|seed| Plan {
                 seed,
-                ..pushed(instances, endpoints, disruption)
+                ..pushed_plan(instances, endpoints, disruption)
             });
             simulate_all(seeds.collect())
         });
@@ -222,9 +222,9 @@
 #[test]
 fn equal_plans_have_equal_outcomes() {
     for plan in [
-        polled(30, 20, Disruption::InstancesKilled),
-        polled(30, 20, Disruption::ImpatientClients),
-        pushed(3, 13, Disruption::ImpatientClients),
+        polled_plan(30, 20, Disruption::InstancesKilled),
+        polled_plan(30, 20, Disruption::ImpatientClients),
+        pushed_plan(3, 13, Disruption::ImpatientClients),
     ] {
         assert_eq!(simulate(plan), simulate(plan));
     }
@@ -236,7 +236,7 @@
         let plans = sizes.iter().flat_map(|&instances| {
             (1..=3).map(move |seed| Plan {
                 seed,
-                ..polled(instances, 60, disruption)
+                ..polled_plan(instances, 60, disruption)
             })
         });
         simulate_all(plans.collect())
@@ -274,14 +274,14 @@
 
 #[test]
 fn a_list_that_grows_past_the_instances_costs_no_round_of_health_checks() {
-    let summary = simulate(polled(300, 200, Disruption::EndpointsAdded));
+    let summary = simulate(polled_plan(300, 200, Disruption::EndpointsAdded));
     assert!(
         summary.health_checks < 2 * summary.requests && summary.connections < 2 * summary.requests,
         "{summary:?}"
     );
 }
 
-fn found(summary: &Summary, text: &str) -> bool {
+fn has_violation(summary: &Summary, text: &str) -> bool {
     let mut violations = summary.violations.iter();
     violations.any(|violation| violation.contains(text))
 }
@@ -289,33 +289,36 @@
 // One injected fault for each rule shows that the summary detects violations of the rule.
 #[test]
 fn injected_faults_are_found() {
-    let delayed = with_fault(InjectedFault::ListDelayed, Disruption::EndpointsReplaced);
+    let delayed = simulate_with_fault(InjectedFault::ListDelayed, Disruption::EndpointsReplaced);
     assert!(
-        found(&delayed, "after it was notified that it leaves"),
+        has_violation(&delayed, "after it was notified that it leaves"),
         "{delayed:?}"
     );
     let omitted = simulate(Plan {
         injected_fault: Some(InjectedFault::StartTimeOmitted),
-        ..polled(20, 20, Disruption::EndpointsReplaced)
+        ..polled_plan(20, 20, Disruption::EndpointsReplaced)
     });
     assert!(omitted.peak_slow_start_load > 1.0, "{omitted:?}");
     let timer = simulate(Plan {
         injected_fault: Some(InjectedFault::TimerLost),
-        ..polled(3, 10, Disruption::EndpointsSilent)
+        ..polled_plan(3, 10, Disruption::EndpointsSilent)
     });
-    assert!(found(&timer, "in time"), "{timer:?}");
-    let repeated = with_fault(InjectedFault::ResponseRepeated, Disruption::None);
-    assert!(found(&repeated, "a second response"), "{repeated:?}");
-    let reset = with_fault(
+    assert!(has_violation(&timer, "in time"), "{timer:?}");
+    let repeated = simulate_with_fault(InjectedFault::ResponseRepeated, Disruption::None);
+    assert!(
+        has_violation(&repeated, "a second response"),
+        "{repeated:?}"
+    );
+    let reset = simulate_with_fault(
         InjectedFault::ResetReportedAsConnectFailed,
         Disruption::ImpatientClients,
     );
-    assert!(found(&reset, "may have run"), "{reset:?}");
-    let early = with_fault(InjectedFault::EarlyExit, Disruption::RollingRestart);
-    assert!(found(&early, "responses outstanding"), "{early:?}");
+    assert!(has_violation(&reset, "may have run"), "{reset:?}");
+    let early = simulate_with_fault(InjectedFault::EarlyExit, Disruption::RollingRestart);
+    assert!(has_violation(&early, "responses outstanding"), "{early:?}");
     let slow = simulate(Plan {
         injected_fault: Some(InjectedFault::DiscoveryCallsSlow),
-        ..polled(300, 20, Disruption::InstancesKilled)
+        ..polled_plan(300, 20, Disruption::InstancesKilled)
     });
     assert!(slow.max_first_list_delay > NOTIFICATION_LIMIT, "{slow:?}");
     let bootstrap = simulate_all(
@@ -323,13 +326,15 @@
             .map(|seed| Plan {
                 seed,
                 injected_fault: Some(InjectedFault::BootstrapConfirmed),
-                ..polled(30, 20, Disruption::InstancesKilledBeforeDrain)
+                ..polled_plan(30, 20, Disruption::InstancesKilledBeforeDrain)
             })
             .collect(),
     );
     let leaves = "after it was notified that it leaves";
     assert!(
-        bootstrap.iter().any(|(_, summary)| found(summary, leaves)),
+        bootstrap
+            .iter()
+            .any(|(_, summary)| has_violation(summary, leaves)),
         "{bootstrap:?}"
     );
 }
@@ -342,29 +347,31 @@
             .map(|seed| Plan {
                 seed,
                 injected_fault: Some(InjectedFault::ResetReportedAsConnectFailed),
-                ..pushed(60, 13, Disruption::ImpatientClients)
+                ..pushed_plan(60, 13, Disruption::ImpatientClients)
             })
             .collect(),
     );
     let zone = "class 2 is sent to another zone, and may have run";
     assert!(
-        reset.iter().any(|(_, summary)| found(summary, zone)),
+        reset
+            .iter()
+            .any(|(_, summary)| has_violation(summary, zone)),
         "{reset:?}"
     );
     let overloaded = simulate(Plan {
         injected_fault: Some(InjectedFault::FailureSentAsOverloaded),
-        ..pushed(3, 13, Disruption::ImpatientClients)
+        ..pushed_plan(3, 13, Disruption::ImpatientClients)
     });
     assert!(
-        found(&overloaded, "has an overload response, and may have run"),
+        has_violation(&overloaded, "has an overload response, and may have run"),
         "{overloaded:?}"
     );
     let delayed = simulate(Plan {
         injected_fault: Some(InjectedFault::ListDelayed),
-        ..pushed(3, 13, Disruption::EndpointsReplaced)
+        ..pushed_plan(3, 13, Disruption::EndpointsReplaced)
     });
     assert!(
-        found(&delayed, "after it was notified that it leaves"),
+        has_violation(&delayed, "after it was notified that it leaves"),
         "{delayed:?}"
     );
 }
