--- a/crates/pumiceway/tests/old_platform_document.rs
+++ b/crates/pumiceway/tests/old_platform_document.rs
@@ -1,5 +1,5 @@
-//! The program as a process on the platform's documents of the program before its sources were
-//! reworded, with addresses of this test in them.
+//! Compatibility test: a dispatcher process reads platform documents that were written for an
+//! earlier version of the program. Their addresses are replaced by addresses of the test.
 
 mod common;
 
@@ -16,10 +16,10 @@
 const FIXTURE: &str = include_str!("../../net/tests/fixtures/platform-v1.json");
 const RELOADED: &str = include_str!("../../net/tests/fixtures/platform-reload-v1.json");
 const RESTART_REQUIRED: &str = "configuration keys changed that take a restart to apply: ";
-/// What discovery sends about the list of the first document, and what that changes in the table.
+/// The delta that discovery sends for the list of the first document.
 const DELTA: &str =
     r#"+ {"index":42,"snapshot":false,"endpoints":[{"name":"n2","status":"gone"}]}"#;
-/// The endpoints of the first document in the table of the admin command `routes`.
+/// The endpoints of the first document, as the admin command `routes` lists them.
 const LISTED: &str =
     "n1\tReady\tnorth\nn2\tDraining\tnorth\ns1\tGone\tsouth\ns2\tReady\tsouth\n.\n";
 /// The addresses in the bootstrap lists.
@@ -30,20 +30,26 @@
     "192.0.2.14:7004",
 ];
 
-fn listener() -> (TcpListener, String) {
+fn bind_listener() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, address)
 }
 
-/// A document with addresses of this machine. Nothing is sent to the endpoints but health checks.
-fn localized(document: &str, written: &str, discovery: &str, endpoints: &[String]) -> String {
-    assert!(document.contains(written));
+/// Replaces the addresses in a document by addresses of this machine. The endpoints receive only
+/// health checks.
+fn with_local_addresses(
+    document: &str,
+    discovery_in_document: &str,
+    discovery: &str,
+    endpoints: &[String],
+) -> String {
+    assert!(document.contains(discovery_in_document));
     let mut text = document
         .replace("127.0.0.1:3107", "127.0.0.1:0")
-        .replace(written, discovery);
-    for (written, address) in ADDRESSES.iter().zip(endpoints) {
-        text = text.replace(written, address);
+        .replace(discovery_in_document, discovery);
+    for (original, address) in ADDRESSES.iter().zip(endpoints) {
+        text = text.replace(original, address);
     }
     text
 }
@@ -55,21 +61,21 @@
     path
 }
 
-/// The program and its files; both end with the test.
-struct Running {
+/// A dispatcher process and its files. On drop the process is killed and the files are removed.
+struct RunningDispatcher {
     child: Child,
     config: PathBuf,
     gearman: PathBuf,
 }
 
-impl Running {
-    fn start(document: &str) -> (Running, BufReader<ChildStderr>) {
+impl RunningDispatcher {
+    fn start(document: &str) -> (RunningDispatcher, BufReader<ChildStderr>) {
         let config = write_file("json", document);
         let gearman = write_file("toml", "listen = \"127.0.0.1:0\"\n");
         let mut child = spawn(&config, &gearman);
         kill_after_timeout(child.id());
         let log = BufReader::new(child.stderr.take().unwrap());
-        let running = Running {
+        let running = RunningDispatcher {
             child,
             config,
             gearman,
@@ -85,7 +91,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningDispatcher {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -106,8 +112,9 @@
         .unwrap()
 }
 
-/// The next call to discovery, which must come in time, and its path.
-fn call_in_time(discovery: TcpListener) -> (Peer, String) {
+/// Accepts the next call to discovery, which must arrive before the timeout. Returns it with its
+/// path.
+fn accept_call_in_time(discovery: TcpListener) -> (Peer, String) {
     let (sender, calls) = channel();
     std::thread::spawn(move || {
         let mut peer = Peer::new(discovery.accept().unwrap().0);
@@ -119,7 +126,7 @@
     (peer, path)
 }
 
-/// The program is killed in the end, so that no test reads its log for ever.
+/// Kills the process after a timeout, so that the test does not hang on its log.
 fn kill_after_timeout(process: u32) {
     std::thread::spawn(move || {
         std::thread::sleep(TIMEOUT * 2);
@@ -129,7 +136,7 @@
 }
 
 /// The next line of the log that contains this text.
-fn logged(log: &mut BufReader<ChildStderr>, part: &str) -> String {
+fn next_log_line(log: &mut BufReader<ChildStderr>, part: &str) -> String {
     log.lines()
         .map(Result::unwrap)
         .find(|line| line.contains(part))
@@ -157,26 +164,27 @@
 
 #[test]
 fn old_documents_list_the_same_endpoints_and_are_reloaded_to_the_same_keys() {
-    let (discovery, address) = listener();
-    let (next_discovery, next_address) = listener();
-    let (_endpoints, endpoint_addresses): (Vec<_>, Vec<_>) = (0..4).map(|_| listener()).unzip();
-    let first = localized(
+    let (discovery, address) = bind_listener();
+    let (next_discovery, next_address) = bind_listener();
+    let (_endpoints, endpoint_addresses): (Vec<_>, Vec<_>) =
+        (0..4).map(|_| bind_listener()).unzip();
+    let first = with_local_addresses(
         FIXTURE,
         "discovery.example:8500",
         &address,
         &endpoint_addresses,
     );
-    let (running, mut log) = Running::start(&first);
-    let line = logged(&mut log, "dispatcher is listening");
+    let (running, mut log) = RunningDispatcher::start(&first);
+    let line = next_log_line(&mut log, "dispatcher is listening");
     assert_eq!(field(&line, "name").as_deref(), Some("\"router-north-1\""));
     let gearman = field(&line, "gearman").unwrap();
     let http = field(&line, "address").unwrap();
-    // The table has the list from the start, but the program is not ready before its confirmation
-    // (or, without one, after some seconds).
+    // The table shows the list from the start, but the program is not ready before discovery has
+    // confirmed the list (or, without confirmation, before some seconds have passed).
     wait_for_routes(&gearman, LISTED);
     assert!(!is_ready(&http));
 
-    let (mut watch, path) = call_in_time(discovery);
+    let (mut watch, path) = accept_call_in_time(discovery);
     assert_eq!(path, "/api/targets?stream=1&index=41");
     watch.send("200");
     watch.send(DELTA);
@@ -184,17 +192,17 @@
     wait_for_routes(&gearman, &confirmed);
     assert!(is_ready(&http));
 
-    let second = localized(
+    let second = with_local_addresses(
         RELOADED,
         "discovery-2.example:8501",
         &next_address,
         &endpoint_addresses,
     );
     running.reload(&second);
-    let line = logged(&mut log, RESTART_REQUIRED);
+    let line = next_log_line(&mut log, RESTART_REQUIRED);
     let (_, keys) = line.split_once(RESTART_REQUIRED).unwrap();
     assert_eq!(keys.trim_end(), "limits, settings.lanes, settings.rules");
-    let (_watch, path) = call_in_time(next_discovery);
+    let (_watch, path) = accept_call_in_time(next_discovery);
     assert_eq!(path, "/api/targets");
     // The list in use is newer than the one in the file.
     assert_eq!(routes(&gearman), confirmed);
--- a/crates/pumiceway/tests/site.rs
+++ b/crates/pumiceway/tests/site.rs
@@ -1,4 +1,4 @@
-//! A new site: `init`, `check-config`, `serve --site`, and a first job.
+//! Tests of a new site: `init`, `check-config`, `serve --site`, and the first jobs.
 #![cfg(feature = "appliance")]
 
 use pumiceway_test_support::Peer;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// A site in a directory of its own, removed when dropped.
+/// A site in its own directory, which is removed on drop.
 struct Site {
     directory: PathBuf,
     process: Option<Child>,
@@ -34,17 +34,17 @@
         command
     }
 
-    /// Runs a command to its end.
-    fn run(&self, arguments: &str) -> Finished {
+    /// Runs a command until it exits.
+    fn run(&self, arguments: &str) -> CommandResult {
         let out = self.command(arguments).output().unwrap();
         let output = [out.stdout, out.stderr].concat();
-        Finished {
+        CommandResult {
             success: out.status.success(),
             output: String::from_utf8(output).unwrap(),
         }
     }
 
-    /// Starts serving; returns the address of the Gearman frontend.
+    /// Starts the dispatcher. Returns the address of the Gearman frontend.
     fn serve(&mut self) -> String {
         let mut child = self
             .command("serve --site site.toml --log-format json")
@@ -74,9 +74,9 @@
     }
 }
 
-/// A command that has ended, with its output and its messages.
+/// The result of a command, with its standard output followed by its standard error.
 #[derive(Debug, PartialEq)]
-struct Finished {
+struct CommandResult {
     success: bool,
     output: String,
 }
@@ -90,7 +90,7 @@
         init.success && init.output.contains("pumiceway serve --site site.toml"),
         "{init:?}"
     );
-    let expected = Finished {
+    let expected = CommandResult {
         success: true,
         output: "pumiceway: good\n".to_owned(),
     };
@@ -135,16 +135,16 @@
     )
     .unwrap();
     for command in ["check-config", "serve"] {
-        let Finished { success, output } = site.run(&format!("{command} --site site.toml"));
+        let CommandResult { success, output } = site.run(&format!("{command} --site site.toml"));
         let message = "pumiceway: site.toml, line 27: classes.booking-import.deadline: \"20 sacks\": a time has";
         assert!(
             !success && output.starts_with(message) && output.lines().count() == 1,
             "{output}"
         );
     }
-    let Finished { success, output } = site.run("serve --site elsewhere.toml");
+    let CommandResult { success, output } = site.run("serve --site elsewhere.toml");
     assert!(!success && output.contains("pumiceway init"), "{output}");
-    let Finished { success, output } = site.run("init --yes --site new.toml --once a/b");
+    let CommandResult { success, output } = site.run("init --yes --site new.toml --once a/b");
     assert!(
         !success && output.contains("classes.a/b") && !site.directory.join("new.toml").exists(),
         "{output}"
