--- a/crates/test-support/src/fleet/attempts.rs
+++ b/crates/test-support/src/fleet/attempts.rs
@@ -2,7 +2,7 @@
 //! job again.
 
 use super::DRAIN_GRACE;
-use super::endpoint::{PendingRun, StartedRun};
+use super::endpoint::{JobRun, StartedRun};
 use super::event_queue::{AttemptKey, Incarnation, SimulationEvent};
 use super::plan::{DISRUPTION_DELAY, Disruption, InjectedFault, SIMULATION_START};
 use super::simulation::Simulation;
@@ -235,7 +235,7 @@
         if is_reset {
             return self.end_attempt(key, AttemptOutcome::Reset, NETWORK_DELAY);
         }
-        let run = PendingRun {
+        let run = JobRun {
             key,
             requirements: self.jobs[&job].requirements,
             remaining: None,
@@ -252,7 +252,7 @@
                 let job = in_flight.job;
                 self.record_job_start(endpoint, started.key, job);
             }
-            let run = started.run;
+            let run = started.run_number;
             self.schedule(started.duration, SimulationEvent::RunEnds { endpoint, run });
         }
     }
--- a/crates/test-support/src/fleet/discovery.rs
+++ b/crates/test-support/src/fleet/discovery.rs
@@ -19,7 +19,8 @@
 const CALL_COST: Duration = Duration::from_millis(7);
 /// A call that waits longer than this fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The duration of a watch that is passed to the call schedule: long enough to count as success.
+/// The watch duration that the call schedule is given when a watch opens: long enough to count as
+/// a success.
 const SERVED_WATCH_DURATION: Duration = Duration::from_secs(30);
 /// A watch without changes sends a heartbeat this often.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/test-support/src/fleet/disruptions.rs
+++ b/crates/test-support/src/fleet/disruptions.rs
@@ -10,27 +10,27 @@
 use pumiceway_decisions::api::EndpointState;
 use std::time::Duration;
 
-/// How long killed instances are down, without and with endpoints that drain meanwhile.
+/// How long killed instances are down. The second one applies if endpoints drain meanwhile.
 const KILLED_DOWNTIME: Duration = Duration::from_millis(400);
 const KILLED_DOWNTIME_FOR_DRAIN: Duration = Duration::from_secs(7);
 /// An instance is killed if its index modulo ten is below this.
 const KILLED_IN_TEN: usize = 7;
-/// A rolling restart, and the addition of endpoints, have this many steps.
+/// A rolling restart and the addition of endpoints each have this many steps.
 const ROLLING_STEPS: usize = 10;
-const RESTART_STEP: Duration = Duration::from_millis(800);
-const ADDITION_STEP: Duration = Duration::from_millis(500);
+const RESTART_STEP_INTERVAL: Duration = Duration::from_millis(800);
+const ADDITION_STEP_INTERVAL: Duration = Duration::from_millis(500);
 /// A new configuration reaches all instances in this many steps.
 const DISCOVERY_MOVE_STEPS: usize = 16;
-const DISCOVERY_MOVE_STEP: Duration = Duration::from_millis(500);
+const DISCOVERY_MOVE_STEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Endpoints are replaced in this many steps. An endpoint is replaced if its index modulo ten is
 /// below `REPLACED_IN_TEN`.
 const REPLACEMENT_STEPS: usize = 7;
-const REPLACEMENT_STEP: Duration = Duration::from_secs(1);
+const REPLACEMENT_STEP_INTERVAL: Duration = Duration::from_secs(1);
 const REPLACED_IN_TEN: usize = 6;
 /// The time from the loss of a zone until its endpoints are listed as gone, and from then until they
 /// are ready again.
-const ZONE_LISTED_GONE: Duration = Duration::from_secs(2);
-const ZONE_RESTORED: Duration = Duration::from_secs(3);
+const ZONE_LISTED_GONE_AFTER: Duration = Duration::from_secs(2);
+const ZONE_RESTORED_AFTER: Duration = Duration::from_secs(3);
 /// One in this many endpoints is silent, for this long.
 const SILENT_ONE_IN: usize = 5;
 const SILENT_FOR: Duration = Duration::from_secs(6);
@@ -50,7 +50,7 @@
             Disruption::RollingRestart => self.rolling_restart_step(step),
             Disruption::DiscoveryMoved => self.discovery_move_step(step),
             Disruption::EndpointsReplaced => self.replacement_step(step),
-            Disruption::ZoneLost => self.zone_step(step),
+            Disruption::ZoneLost => self.zone_loss_step(step),
             Disruption::EndpointsSilent => self.silence_step(step),
             Disruption::EndpointsAdded => self.addition_step(step),
             Disruption::ListsDelayed => self.drain_step(),
@@ -105,7 +105,7 @@
             self.request_stop(instance);
         }
         self.replace_endpoint(self.plan.endpoints * step / ROLLING_STEPS);
-        (step + 1 < ROLLING_STEPS).then_some(RESTART_STEP)
+        (step + 1 < ROLLING_STEPS).then_some(RESTART_STEP_INTERVAL)
     }
 
     fn discovery_move_step(&mut self, step: usize) -> Option<Duration> {
@@ -119,7 +119,7 @@
             self.deliver(self.current_incarnation(instance), configured);
         }
         self.replace_endpoint(self.plan.endpoints * step / DISCOVERY_MOVE_STEPS);
-        (step + 1 < DISCOVERY_MOVE_STEPS).then_some(DISCOVERY_MOVE_STEP)
+        (step + 1 < DISCOVERY_MOVE_STEPS).then_some(DISCOVERY_MOVE_STEP_INTERVAL)
     }
 
     fn replacement_step(&mut self, step: usize) -> Option<Duration> {
@@ -130,10 +130,10 @@
         for endpoint in (0..count).filter(is_replaced) {
             self.replace_endpoint(endpoint);
         }
-        (step + 1 < REPLACEMENT_STEPS).then_some(REPLACEMENT_STEP)
+        (step + 1 < REPLACEMENT_STEPS).then_some(REPLACEMENT_STEP_INTERVAL)
     }
 
-    fn zone_step(&mut self, step: usize) -> Option<Duration> {
+    fn zone_loss_step(&mut self, step: usize) -> Option<Duration> {
         for endpoint in (0..self.endpoints.len()).step_by(self.settings.zone_count) {
             match step {
                 0 => self.kill_endpoint(endpoint),
@@ -142,8 +142,8 @@
             }
         }
         match step {
-            0 => Some(ZONE_LISTED_GONE),
-            1 => Some(ZONE_RESTORED),
+            0 => Some(ZONE_LISTED_GONE_AFTER),
+            1 => Some(ZONE_RESTORED_AFTER),
             _ => None,
         }
     }
@@ -161,7 +161,7 @@
         for endpoint in endpoints.filter(|endpoint| endpoint % ROLLING_STEPS == step) {
             self.add_endpoint(endpoint % self.settings.zone_count);
         }
-        (step + 1 < ROLLING_STEPS).then_some(ADDITION_STEP)
+        (step + 1 < ROLLING_STEPS).then_some(ADDITION_STEP_INTERVAL)
     }
 
     fn kill_endpoint(&mut self, endpoint: usize) {
--- a/crates/test-support/src/fleet/endpoint.rs
+++ b/crates/test-support/src/fleet/endpoint.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A queued, suspended or running job.
+/// A job that is queued, suspended or running at an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PendingRun {
+pub(super) struct JobRun {
     pub key: AttemptKey,
     pub requirements: Requirements,
     /// The remaining run time of a job that was suspended.
@@ -21,7 +21,7 @@
 }
 
 struct ActiveRun {
-    run: PendingRun,
+    run: JobRun,
     ends_at: Timestamp,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartedRun {
     /// The number of the run at the endpoint.
-    pub run: u64,
+    pub run_number: u64,
     pub key: AttemptKey,
     pub duration: Duration,
     pub is_resumed: bool,
@@ -79,9 +79,9 @@
     slow_start_share: f64,
     slow_start_duration: Duration,
     running: BTreeMap<u64, ActiveRun>,
-    suspended: VecDeque<PendingRun>,
-    queue: VecDeque<PendingRun>,
-    last_run: u64,
+    suspended: VecDeque<JobRun>,
+    queue: VecDeque<JobRun>,
+    last_run_number: u64,
     report: LoadReport,
     reported_at: Timestamp,
 }
@@ -109,7 +109,7 @@
             running: BTreeMap::new(),
             suspended: VecDeque::new(),
             queue: VecDeque::new(),
-            last_run: 0,
+            last_run_number: 0,
             report: LoadReport::default(),
             reported_at: Timestamp::ORIGIN,
         }
@@ -199,7 +199,7 @@
     }
 
     /// Queues a job. Returns the jobs that are started.
-    pub fn submit(&mut self, now: Timestamp, run: PendingRun) -> Vec<StartedRun> {
+    pub fn submit(&mut self, now: Timestamp, run: JobRun) -> Vec<StartedRun> {
         self.refresh_report(now);
         let priority = run.requirements.priority;
         let waiting = self.queue.iter();
@@ -211,9 +211,9 @@
     }
 
     /// Ends a job, if it still runs.
-    pub fn finish(&mut self, now: Timestamp, run: u64) -> Option<EndedRun> {
+    pub fn finish(&mut self, now: Timestamp, run_number: u64) -> Option<EndedRun> {
         self.refresh_report(now);
-        let ended = self.running.remove(&run)?;
+        let ended = self.running.remove(&run_number)?;
         Some(EndedRun {
             key: ended.run.key,
             started: self.start_runs(now),
@@ -270,22 +270,22 @@
     }
 
     /// The suspended job to resume, if any. It takes precedence over queued jobs of its priority.
-    fn next_resumed(&self) -> Option<PendingRun> {
+    fn next_resumed(&self) -> Option<JobRun> {
         let queued = self.queue.front().map(|run| run.requirements.priority);
         let suspended = self.suspended.front().copied();
         suspended.filter(|run| queued.is_none_or(|queued| queued <= run.requirements.priority))
     }
 
-    fn start_run(&mut self, now: Timestamp, run: PendingRun, is_resumed: bool) -> StartedRun {
+    fn start_run(&mut self, now: Timestamp, run: JobRun, is_resumed: bool) -> StartedRun {
         let speed = self.machine().speed * self.slow_start_factor(now).unwrap_or(1.0);
         let full_duration = Duration::from_micros((run.requirements.work_us / speed) as u64);
         let duration = run.remaining.unwrap_or(full_duration);
         let ends_at = now + duration;
-        self.last_run += 1;
+        self.last_run_number += 1;
         self.running
-            .insert(self.last_run, ActiveRun { run, ends_at });
+            .insert(self.last_run_number, ActiveRun { run, ends_at });
         StartedRun {
-            run: self.last_run,
+            run_number: self.last_run_number,
             key: run.key,
             duration,
             is_resumed,
@@ -295,18 +295,17 @@
     /// Suspends the job that was started last among those that a job of this priority may preempt.
     /// Returns whether there was one.
     fn suspend_one(&mut self, now: Timestamp, priority: u32) -> bool {
-        let yields = |run: &PendingRun| {
-            run.requirements.is_idempotent && run.requirements.priority < priority
-        };
+        let yields =
+            |run: &JobRun| run.requirements.is_idempotent && run.requirements.priority < priority;
         let mut latest_first = self.running.iter().rev();
         let last = latest_first.find(|(_, active)| self.workload.suspends && yields(&active.run));
-        let Some((&number, _)) = last else {
+        let Some((&run_number, _)) = last else {
             return false;
         };
-        let Some(active) = self.running.remove(&number) else {
+        let Some(active) = self.running.remove(&run_number) else {
             return false;
         };
-        self.suspended.push_back(PendingRun {
+        self.suspended.push_back(JobRun {
             remaining: Some(active.ends_at.saturating_duration_since(now)),
             ..active.run
         });
--- a/crates/test-support/src/fleet/endpoint_list.rs
+++ b/crates/test-support/src/fleet/endpoint_list.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// The start time of an endpoint in a version of the list.
     fn started_at(&self, endpoint: usize, version: usize) -> Timestamp {
         if self.plan.injects(InjectedFault::StartTimeOmitted) {
             return Timestamp::ORIGIN;
@@ -93,7 +94,7 @@
             // A new process counts as notified at once of the list that its agent has.
             return Some(notified_at.map_or(limit, |at| at.max(started_at)));
         }
-        // The limit holds whenever the process started, as it should have polled by then.
+        // The limit holds no matter when the process started: by then it should have polled.
         let by_this_process = notified_at.filter(|&at| at >= started_at);
         Some(by_this_process.map_or(limit, |at| at.min(limit)))
     }
--- a/crates/test-support/src/fleet/instances.rs
+++ b/crates/test-support/src/fleet/instances.rs
@@ -32,16 +32,16 @@
     pub has_watch: bool,
     /// How many watches this process has requested. Only the last one is in use.
     pub watches_requested: u32,
-    /// The version of the list that any of its processes was last notified of.
+    /// The list version that a process of the instance was last notified of. Outlives the process.
     pub list_version: usize,
-    /// The version of the list that its agent has.
+    /// The list version that the agent beside the instance has.
     pub agent_version: usize,
     /// Whether this process has received a list from discovery.
     pub has_list: bool,
     pub stop_requested_at: Option<Timestamp>,
     pub frontends_open: bool,
-    /// Whether clients are routed to it. The first process has to report that it is ready; a
-    /// restarted process receives clients at once.
+    /// Whether clients are routed to the instance. The first process has to report that it is ready;
+    /// a restarted process receives clients at once.
     pub is_ready: bool,
     /// The number of open connections of clients that wait for a response.
     pub open_connections: usize,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Asks a process to stop, and schedules its kill in case it takes too long.
+    /// Asks the process of an instance to stop, and schedules a kill at the end of the time limit.
     pub fn request_stop(&mut self, instance: usize) {
         let incarnation = self.current_incarnation(instance);
         self.instances[instance].stop_requested_at = Some(self.now);
@@ -222,7 +222,7 @@
         let outstanding = self.outstanding_responses(incarnation, is_due);
         if outstanding > 0 {
             self.record_violation(format!(
-                "instance {instance} was killed in its stop with {outstanding} responses outstanding"
+                "instance {instance} was killed while stopping, with {outstanding} responses outstanding"
             ));
         }
         self.restart_later(instance);
--- a/crates/test-support/src/processes/conditions.rs
+++ b/crates/test-support/src/processes/conditions.rs
@@ -5,8 +5,8 @@
 
 /// The longest time that a client waits.
 const MAX_REMAINING: Duration = Duration::from_millis(2_500);
-/// A process that was asked to stop may be killed after the longest deadline, of which at most
-/// `MAX_COUNTED_DEADLINE` counts, plus this margin.
+/// A process that was asked to stop may be killed this long after the longest deadline, which
+/// counts as at most `MAX_COUNTED_DEADLINE`.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 
--- a/crates/test-support/src/processes/discovery/mod.rs
+++ b/crates/test-support/src/processes/discovery/mod.rs
@@ -143,7 +143,7 @@
         link
     }
 
-    /// Its current address.
+    /// The current address of discovery.
     pub fn address(&self) -> String {
         self.addresses[self.state.lock().unwrap().current].clone()
     }
--- a/crates/test-support/src/processes/discovery/notification.rs
+++ b/crates/test-support/src/processes/discovery/notification.rs
@@ -1,8 +1,9 @@
 //! Determines when a dispatcher counts as notified of a change of the list.
 //!
-//! It does when the change was sent to it, or a limit after discovery was reachable with the
-//! change, whichever is earlier. With an agent it does as soon as the agent has the change, unless
-//! its watch is silent or discovery has moved since a list was last sent.
+//! Without an agent, that is when the change was sent to the dispatcher, or a limit after discovery
+//! was reachable with the change, whichever is earlier. With an agent, it is as soon as the agent
+//! has the change, unless the dispatcher's watch is silent or discovery has moved since a list was
+//! last sent.
 
 use super::{DiscoveryLink, Move};
 use crate::processes::ListDelivery;
@@ -75,9 +76,9 @@
         Some(first.at)
     }
 
-    /// When the process counts as notified, because of a move, of a change that discovery had at
-    /// this time. Only moves count that the process was notified of, and since which it had been
-    /// sent no list when discovery had the change.
+    /// When the process counts as notified, because of a move, of a change with which discovery was
+    /// reachable from `reachable_at` on. A move counts only if the process was notified of it, and
+    /// had not been sent a list since the move when discovery became reachable with the change.
     fn move_limit_at(
         &self,
         change: &ChangeToNotify,
@@ -86,7 +87,7 @@
     ) -> Option<Instant> {
         let state = self.state.lock().unwrap();
         let moves = &state.moves;
-        let counts_for = |(index, moved): (usize, &Move)| {
+        let limit_after = |(index, moved): (usize, &Move)| {
             if moved.at < change.process_started_at {
                 return None;
             }
@@ -97,7 +98,7 @@
             let was_sent_before = first_list_at.is_some_and(|at| at <= reachable_at);
             (!was_sent_before).then(|| (moved.at + limits.after_move).max(reachable_at))
         };
-        moves.iter().enumerate().filter_map(counts_for).min()
+        moves.iter().enumerate().filter_map(limit_after).min()
     }
 
     /// The watch that was open at this time, if it was silent or became silent later.
--- a/crates/test-support/src/processes/dispatcher.rs
+++ b/crates/test-support/src/processes/dispatcher.rs
@@ -169,7 +169,7 @@
         self.kill();
     }
 
-    /// Whether its process has ended. Records a violation if it failed.
+    /// Whether its process has ended. Records a violation if the process has exited with an error.
     fn reap(&self, fleet: &TestFleet) -> bool {
         let status = self
             .child
@@ -213,7 +213,8 @@
         }
     }
 
-    /// Claims it for a fault that ends its process. Returns whether no other fault has claimed it.
+    /// Claims the dispatcher for a fault that ends its process. Returns false if another fault has
+    /// claimed it before.
     pub fn claim(&self) -> bool {
         !self.is_claimed.swap(true, Ordering::SeqCst)
     }
--- a/crates/test-support/src/processes/faults/injection.rs
+++ b/crates/test-support/src/processes/faults/injection.rs
@@ -33,9 +33,9 @@
     }
 }
 
-fn every_nth(fleet: &TestFleet, n: usize) -> impl Iterator<Item = &Dispatcher> {
+fn every_nth(fleet: &TestFleet, one_in: usize) -> impl Iterator<Item = &Dispatcher> {
     let dispatchers = fleet.dispatchers.iter();
-    dispatchers.filter(move |dispatcher| dispatcher.number % n == 0)
+    dispatchers.filter(move |dispatcher| dispatcher.number % one_in == 0)
 }
 
 fn inject_fault(fleet: &TestFleet, fault: Fault) {
--- a/crates/test-support/src/processes/rule_checker.rs
+++ b/crates/test-support/src/processes/rule_checker.rs
@@ -134,12 +134,12 @@
         request: &SentRequest,
         arrival: &Arrival,
     ) -> Option<Duration> {
-        let leaves = self.leaving_change(arrival)?;
+        let leaving_change = self.leaving_change(arrival)?;
         let process_started_at = self.process_run(request.dispatcher, request.at)?.started_at;
         let change = ChangeToNotify {
             process_started_at,
-            changed_at: leaves.at,
-            version: leaves.version,
+            changed_at: leaving_change.at,
+            version: leaving_change.version,
         };
         let link = &self.fleet.dispatchers[request.dispatcher].link;
         let notified_at = link.notified_at(&change, &NOTIFICATION_LIMITS)?;
--- a/crates/test-support/src/processes/service.rs
+++ b/crates/test-support/src/processes/service.rs
@@ -5,7 +5,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A call that waits longer than this for its turn fails, but still takes its time of the service.
+/// A call that waits longer than this for its turn fails, but still occupies the service for its
+/// cost.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// How a call fails.
@@ -134,12 +135,12 @@
         })
     }
 
-    /// Whether it is up.
+    /// Whether the service is up.
     pub fn is_up(&self) -> bool {
         self.state.lock().unwrap().is_up()
     }
 
-    /// Takes it down: its watches end, and calls fail after this delay.
+    /// Takes the service down: its watches end, and calls fail after this delay.
     pub fn go_down(&self, failure: Failure, delay: Duration) {
         let mut state = self.state.lock().unwrap();
         if let Some(last) = state.up_times.last_mut() {
@@ -148,7 +149,7 @@
         state.outage = Outage { failure, delay };
     }
 
-    /// Brings it up again.
+    /// Brings the service up again.
     pub fn come_up(&self) {
         let mut state = self.state.lock().unwrap();
         if !state.is_up() {
@@ -166,8 +167,8 @@
         state.overload_failure = overload_failure;
     }
 
-    /// The first time at which the service was up with a change that was made at this time; none if
-    /// it has not been up since.
+    /// The first time, from when a change was made, at which the service was up; none if it has not
+    /// been up since.
     pub fn reachable_from(&self, changed_at: Instant) -> Option<Instant> {
         let state = self.state.lock().unwrap();
         let mut up_times = state.up_times.iter();
