--- a/crates/site/src/convert/mod.rs
+++ b/crates/site/src/convert/mod.rs
@@ -33,7 +33,7 @@
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
 /// The longest `Retry-After` that is sent to clients.
 const MAX_RETRY_AFTER_US: u64 = 2_000_000;
-/// How long after the notification that an endpoint drains new requests may still be sent to it.
+/// How long new requests may still be sent to an endpoint after the notification that it drains.
 const DRAIN_GRACE_US: u64 = 500_000;
 const TIMER_RESOLUTION_US: u64 = 1_000;
 
