--- a/crates/store/src/encoding.rs
+++ b/crates/store/src/encoding.rs
@@ -11,7 +11,7 @@
 
 /// The fastest regular level of zstd: rows are small, and each is compressed once.
 const COMPRESSION_LEVEL: i32 = 1;
-/// Rows shorter than this are stored uncompressed, in bytes.
+/// Values shorter than this, in bytes, are stored uncompressed.
 const MIN_COMPRESSED_LENGTH: usize = 256;
 /// The maximum length of a decompressed row, in bytes. Bounds the memory that a damaged file can
 /// make the process allocate.
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Commits the pending changes, and opens the database before if it is not open. Returns the
-    /// sequence number of the last change.
+    /// Opens the database if it is not open, and commits the pending changes. Returns the sequence
+    /// number of the last change.
     fn commit(&mut self) -> Result<u64, WriteError> {
         let database = match self.database.take() {
             Some(database) => database,
