--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -51,7 +51,7 @@
     /// The class is not in the settings.
     #[error("unknown class {0}")]
     UnknownClass(String),
-    /// The endpoint has been in no endpoint list. The wire calls an endpoint a worker.
+    /// The endpoint has not been in any endpoint list. The wire calls an endpoint a worker.
     #[error("unknown worker {0}")]
     UnknownEndpoint(String),
     /// The zone is not in the settings.
--- a/crates/adapter/src/name_table.rs
+++ b/crates/adapter/src/name_table.rs
@@ -25,6 +25,7 @@
 struct OpenRequest {
     name: Box<str>,
     attempts_in_flight: usize,
+    /// Whether the request has its final response, or its client has disconnected.
     is_done: bool,
 }
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -240,7 +240,7 @@
 pub struct TimerFired {
     #[serde(rename = "i")]
     pub instance: u64,
-    /// The number in the action that set it.
+    /// The number of the timer, from the action that set it.
     #[serde(rename = "nonce")]
     pub timer: u64,
 }
