--- a/crates/logging/src/non_blocking.rs
+++ b/crates/logging/src/non_blocking.rs
@@ -14,7 +14,7 @@
 
 enum Message {
     Line(Vec<u8>),
-    /// Ends the thread.
+    /// Ends the writing thread.
     Stop,
 }
 
@@ -69,8 +69,8 @@
     let _ = done.send(());
 }
 
-/// Stops the thread on drop, and waits until the queued lines are written or the flush timeout is
-/// over.
+/// Stops the writing thread on drop, and waits until the queued lines are written or the flush
+/// timeout is over.
 pub(crate) struct WorkerGuard {
     queue: SyncSender<Message>,
     done: Receiver<()>,
