--- a/crates/pumiceway/src/config_files.rs
+++ b/crates/pumiceway/src/config_files.rs
@@ -1,8 +1,9 @@
 //! Loading of the configuration from its files.
 //!
-//! An appliance has a site file for all of it. On the platform, `ROUTER_CONFIG` names the document
-//! with the settings, and `--gearman` names a separate file that enables the Gearman frontend. In
-//! both cases `--zookeeper` names a file that enables an endpoint list in ZooKeeper.
+//! On an appliance, a site file holds the settings, including those of the Gearman frontend. On the
+//! platform, `ROUTER_CONFIG` names the document with the settings, and `--gearman` names a separate
+//! file that enables the Gearman frontend. In both cases `--zookeeper` names a file that enables an
+//! endpoint list in ZooKeeper.
 
 use crate::error::CommandError;
 use pumiceway_net::config::{Config, ConfigError, GearmanConfig, ZooKeeperConfig};
--- a/crates/pumiceway/src/console/command.rs
+++ b/crates/pumiceway/src/console/command.rs
@@ -14,7 +14,7 @@
     /// Sends an admin command whose response is a table.
     Table {
         name: &'static str,
-        /// The names of the columns, which the response does not have.
+        /// The names of the columns, which the response does not include.
         header: &'static [&'static str],
     },
     /// Sends an admin command whose response is one line.
--- a/crates/pumiceway/src/console/error.rs
+++ b/crates/pumiceway/src/console/error.rs
@@ -29,7 +29,7 @@
 
 impl fmt::Display for UnknownCommand {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no command {:?}; try help", self.0)
+        write!(f, "unknown command {:?}; help lists the commands", self.0)
     }
 }
 
@@ -40,12 +40,12 @@
         match self {
             ConsoleError::UnknownCommand(unknown) => unknown.fmt(f),
             ConsoleError::Connect { address, source } => {
-                write!(f, "no dispatcher at {address}: {source}")
+                write!(f, "cannot connect to the dispatcher at {address}: {source}")
             }
             ConsoleError::ConnectionClosed => f.write_str("the dispatcher closed the connection"),
-            ConsoleError::Send(source) => write!(f, "not sent: {source}"),
-            ConsoleError::Receive(source) => write!(f, "no answer: {source}"),
-            ConsoleError::Input(source) => source.fmt(f),
+            ConsoleError::Send(source) => write!(f, "cannot send the command: {source}"),
+            ConsoleError::Receive(source) => write!(f, "cannot read the response: {source}"),
+            ConsoleError::Input(source) => write!(f, "cannot read standard input: {source}"),
         }
     }
 }
--- a/crates/pumiceway/src/init/error.rs
+++ b/crates/pumiceway/src/init/error.rs
@@ -30,7 +30,7 @@
             InitError::InputEnded => {
                 f.write_str("the input ended before the last question; nothing was written")
             }
-            InitError::Terminal(source) => source.fmt(f),
+            InitError::Terminal(source) => write!(f, "cannot ask the questions: {source}"),
             InitError::InvalidAnswers(source) => write!(f, "invalid answers: {source}"),
             InitError::Write { file, source } => write!(f, "{}: {source}", file.display()),
         }
