--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -175,9 +175,9 @@
 }
 
 /// Adapts the configuration to the Gearman frontend and creates its worker sessions: reserves its
-/// connections in the socket budget and adds the machine kinds of worker sessions. For the requests
-/// of all frontends, limits the length of the queue, and lets classes without a maximum queue time
-/// wait in it up to their deadline.
+/// connections in the socket budget and adds the machine kinds of worker sessions. Also limits the
+/// length of the queue, and sets the maximum queue time of classes that have none to their deadline;
+/// both apply to the requests of all frontends.
 fn prepare_gearman(
     config: &mut Config,
     gearman: &GearmanConfig,
--- a/crates/net/src/event_loop/effects.rs
+++ b/crates/net/src/event_loop/effects.rs
@@ -78,7 +78,7 @@
                     (EndpointAddress::Session(session), Some(workers)) => {
                         workers.start(session, attempt, class, job);
                     }
-                    (EndpointAddress::Session(_), None) => self.fail_to_connect(attempt),
+                    (EndpointAddress::Session(_), None) => self.report_connect_failure(attempt),
                 }
             }
             Effect::AbortAttempt { attempt } => self.abort_attempt(attempt),
@@ -171,12 +171,12 @@
                     reason = %error,
                     "attempt was not sent: its request cannot be built"
                 );
-                self.fail_to_connect(attempt);
+                self.report_connect_failure(attempt);
             }
         }
     }
 
-    fn fail_to_connect(&self, attempt: AttemptId) {
+    fn report_connect_failure(&self, attempt: AttemptId) {
         let outcome = AttemptOutcome::ConnectFailed;
         self.events.send(Event::AttemptEnded {
             attempt,
--- a/crates/net/src/event_loop/upstreams.rs
+++ b/crates/net/src/event_loop/upstreams.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// When no socket is free, one in this many of the endpoints without an attempt in flight loses its
-/// idle connections at a time.
+/// When no socket is free, the idle connections of one in this many endpoints without an attempt in
+/// flight are closed.
 const EVICTION_DIVISOR: usize = 4;
 
 /// The HTTP clients for all endpoints.
