--- a/crates/net/src/discovery/call_schedule.rs
+++ b/crates/net/src/discovery/call_schedule.rs
@@ -27,8 +27,8 @@
 const MIN_DELAY: Duration = Duration::from_millis(50);
 /// Each consecutive failure doubles the window of random delays, up to this many times.
 const MAX_DOUBLINGS: u32 = 3;
-/// The delay before an agent is called again is at most this multiple of [`MIN_DELAY`]. Increasing
-/// it avoids a busy loop while an agent is not up yet.
+/// The delay before an agent is called again grows with consecutive failures to at most this multiple
+/// of [`MIN_DELAY`], which avoids a busy loop while an agent is not up yet.
 const MAX_AGENT_DELAY_FACTOR: u32 = 2;
 /// A watch that was open for longer than this counts as successful even if it sent no new version.
 const MIN_SUCCESSFUL_WATCH: Duration = Duration::from_millis(2_500);
@@ -103,8 +103,9 @@
     /// Returns the delay before the first call, counted from when a request starts to wait for the
     /// list. The caller limits it to the delay of [`CallSchedule::first`].
     ///
-    /// Without it, processes that restart together would shed requests for seconds. Processes
-    /// without requests keep their original delay, so the calls do not outnumber the requests.
+    /// Without this shorter delay, processes that restart together would shed requests for seconds.
+    /// Processes without requests keep their original delay, so the calls do not outnumber the
+    /// requests.
     pub fn on_demand(&self, random: f64) -> Duration {
         self.window.min(MAX_ON_DEMAND_DELAY).mul_f64(random)
     }
@@ -120,16 +121,17 @@
     }
 
     /// Returns the delay between the end of a call and the next call. `open_for` is how long the
-    /// watch of the ended call was open, zero if the call was not answered; `served` is whether it
-    /// sent a new version.
-    pub fn next(&mut self, open_for: Duration, served: bool, random: f64) -> Duration {
-        self.count_failures(open_for, served);
+    /// watch of the ended call was open, zero if the call was not answered; `has_advanced` is
+    /// whether the list version has increased.
+    pub fn next(&mut self, open_for: Duration, has_advanced: bool, random: f64) -> Duration {
+        self.count_failures(open_for, has_advanced);
         if self.is_agent {
             let factor = 1 << self.failures.saturating_sub(1);
             return MIN_DELAY * factor.min(MAX_AGENT_DELAY_FACTOR);
         }
         let window = match self.failures {
-            // A longer delay would end after changes between the two watches count as notified.
+            // With a longer delay, the dispatcher could count as notified of a change between the
+            // two watches before it has called again.
             0 => self.window.min(MAX_NOTIFICATION_DELAY / 2),
             failures => self
                 .window
@@ -139,8 +141,8 @@
         MIN_DELAY + window.mul_f64(random)
     }
 
-    fn count_failures(&mut self, open_for: Duration, served: bool) {
-        self.failures = if served || open_for > MIN_SUCCESSFUL_WATCH {
+    fn count_failures(&mut self, open_for: Duration, has_advanced: bool) {
+        self.failures = if has_advanced || open_for > MIN_SUCCESSFUL_WATCH {
             0
         } else {
             (self.failures + 1).min(MAX_DOUBLINGS)
--- a/crates/net/src/discovery/watcher/mod.rs
+++ b/crates/net/src/discovery/watcher/mod.rs
@@ -31,21 +31,22 @@
 /// The service sends a line every 2 s. A watch that completes no message within this time is
 /// closed.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A service that has sent only lower versions for this long has restarted its numbering. A service
-/// that merely lags behind an earlier version catches up long before: changes count as notified
-/// after 6 s.
+/// A service that has sent only versions below its highest one for this long is taken to have
+/// restarted its numbering. One that merely lags behind what it has sent catches up much sooner: a
+/// dispatcher counts as notified of a change after 6 s.
 const RENUMBERED_AFTER: Duration = Duration::from_secs(60);
 
 /// Watches a discovery service and sends its endpoint list until the receiver is dropped.
 pub struct DiscoveryWatcher {
     /// Notified when a request is waiting for the first list.
     pub demand: Arc<Notify>,
-    /// Versions that have stayed lower than before for this long are accepted.
+    /// Once the service has sent only versions below its highest one for this long, they are
+    /// accepted.
     pub renumbered_after: Duration,
     address: String,
     settings: Arc<DeploymentSettings>,
     /// Whether a reload has changed the address of discovery to `address`.
-    after_move: bool,
+    address_changed: bool,
     updates: mpsc::Sender<SourceUpdate>,
     versions: ListVersions,
 }
@@ -54,13 +55,13 @@
     /// Creates a watcher of the service at `address`, a `host:port`.
     ///
     /// `list_version` is the version of the list that is already known; without one, the whole list
-    /// is requested first. `after_move` states that a reload has changed the address of discovery
-    /// to this one.
+    /// is requested first. `address_changed` states that a reload has changed the address of
+    /// discovery to this one.
     pub fn new(
         address: String,
         settings: Arc<DeploymentSettings>,
         list_version: Option<u64>,
-        after_move: bool,
+        address_changed: bool,
         updates: mpsc::Sender<SourceUpdate>,
     ) -> DiscoveryWatcher {
         DiscoveryWatcher {
@@ -68,7 +69,7 @@
             renumbered_after: RENUMBERED_AFTER,
             address,
             settings,
-            after_move,
+            address_changed,
             updates,
             versions: ListVersions::new(list_version),
         }
@@ -115,7 +116,7 @@
     /// together. The delay is shortened once a request is waiting.
     async fn wait_for_first_call(&self, schedule: &CallSchedule) {
         let random = fastrand::f64();
-        let delay = if self.after_move {
+        let delay = if self.address_changed {
             schedule.first_moved(random)
         } else {
             schedule.first(random)
@@ -268,7 +269,8 @@
         let Some(version) = self.versions.last() else {
             return Err(MalformedMessage::DeltaWithoutList);
         };
-        // A service that lags behind an earlier version would restore an endpoint that is gone.
+        // Such a delta comes from a service that lags behind what it has sent, and could restore an
+        // endpoint that is gone.
         if version > delta.version && !delta.endpoints.is_empty() {
             return Err(MalformedMessage::OutdatedDelta);
         }
--- a/crates/net/src/discovery/watcher/versions.rs
+++ b/crates/net/src/discovery/watcher/versions.rs
@@ -1,8 +1,8 @@
 //! Tracks the list versions of a discovery service.
 //!
 //! Versions normally only increase. A lower version than before comes from a service that lags
-//! behind an earlier state, and must not restore an endpoint that is gone. A service may also
-//! restart its numbering: if it sends only lower versions for long enough, they are accepted.
+//! behind what it has already sent, and must not restore an endpoint that is gone. A service may
+//! also restart its numbering: if it sends only lower versions for long enough, they are accepted.
 
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/net/src/event_loop/effects.rs
+++ b/crates/net/src/event_loop/effects.rs
@@ -248,9 +248,14 @@
     }
 
     fn watch_discovery(&mut self, address: String, list_version: Option<u64>) {
-        let after_move = self.watch.is_some();
-        let watch = WatchTask::start(address, self.settings.clone(), list_version, after_move);
-        if after_move {
+        let address_changed = self.watch.is_some();
+        let watch = WatchTask::start(
+            address,
+            self.settings.clone(),
+            list_version,
+            address_changed,
+        );
+        if address_changed {
             self.next_watch = Some(watch);
         } else {
             self.watch = Some(watch);
--- a/crates/net/src/event_loop/watch.rs
+++ b/crates/net/src/event_loop/watch.rs
@@ -15,16 +15,17 @@
 }
 
 impl WatchTask {
-    /// Spawns a watch of the service at this address. `after_move` states that it replaces a watch
-    /// of another address.
+    /// Spawns a watch of the service at this address. `address_changed` states that it replaces a
+    /// watch of another address.
     pub(super) fn start(
         address: String,
         settings: Arc<DeploymentSettings>,
         list_version: Option<u64>,
-        after_move: bool,
+        address_changed: bool,
     ) -> WatchTask {
         let (sender, updates) = mpsc::channel(SOURCE_CHANNEL_CAPACITY);
-        let watcher = DiscoveryWatcher::new(address, settings, list_version, after_move, sender);
+        let watcher =
+            DiscoveryWatcher::new(address, settings, list_version, address_changed, sender);
         let demand = watcher.demand.clone();
         let mut task = JoinSet::new();
         task.spawn(watcher.run());
--- a/crates/net/src/upstream/client.rs
+++ b/crates/net/src/upstream/client.rs
@@ -24,8 +24,8 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// Time on top of the connect timeout within which the request of an attempt must be written. It
-/// allows for the resolution of the timer.
+/// Margin between the connect timeout of an attempt and its write deadline. It allows for the
+/// resolution of the timer.
 pub(super) const WRITE_MARGIN: Duration = Duration::from_millis(25);
 
 /// The hyper client that opens, pools and closes connections to the endpoint.
--- a/crates/net/src/upstream/connection_abort.rs
+++ b/crates/net/src/upstream/connection_abort.rs
@@ -102,7 +102,8 @@
         self.0.reader_waker.register(waker);
     }
 
-    /// Counts bytes that were read. Returns whether they exceed the limit before a response.
+    /// Counts bytes that were read, if the last request has no response yet. Returns whether the
+    /// bytes read since that request exceed [`MAX_BYTES_BEFORE_RESPONSE`].
     pub(super) fn count_read(&self, bytes: usize) -> bool {
         let state = &self.0;
         let awaits_response = state.last_response.load(Ordering::Relaxed)
--- a/crates/net/src/upstream/response.rs
+++ b/crates/net/src/upstream/response.rs
@@ -116,7 +116,7 @@
         observer,
         limit: ProgressLimit::new(Instant::now()),
         line: Vec::new(),
-        line_bytes: 0,
+        counted_bytes: 0,
     };
     loop {
         let data = next_data(body).await?;
@@ -143,8 +143,8 @@
     limit: ProgressLimit,
     /// The received part of the current line.
     line: Vec<u8>,
-    /// What the fragments of the current line count towards the limits.
-    line_bytes: usize,
+    /// Sum of the fragments of the current line, each counted with at least [`MIN_FRAGMENT_BYTES`].
+    counted_bytes: usize,
 }
 
 impl<T: AttemptObserver> ResponseReader<'_, T> {
@@ -152,15 +152,15 @@
     /// attempt if the fragment completes the final line.
     fn push(&mut self, fragment: &[u8]) -> Result<Option<AttemptEnd>, ResponseError> {
         self.line.extend_from_slice(fragment);
-        self.line_bytes += fragment.len().max(MIN_FRAGMENT_BYTES);
-        if self.line_bytes > MAX_LINE_BYTES {
+        self.counted_bytes += fragment.len().max(MIN_FRAGMENT_BYTES);
+        if self.counted_bytes > MAX_LINE_BYTES {
             return Err(ResponseError::LineTooLong);
         }
         if !fragment.ends_with(b"\n") {
             return Ok(None);
         }
         let line = std::mem::take(&mut self.line);
-        let bytes = std::mem::take(&mut self.line_bytes);
+        let bytes = std::mem::take(&mut self.counted_bytes);
         self.read_line(&line, bytes)
     }
 
