--- a/crates/net/src/config/mod.rs
+++ b/crates/net/src/config/mod.rs
@@ -65,7 +65,7 @@
 }
 
 impl Config {
-    /// Creates a configuration that is not read from the platform's document.
+    /// Creates a configuration from the values of a site file, without the platform's document.
     ///
     /// # Errors
     ///
--- a/crates/net/src/frontend/admission/connection.rs
+++ b/crates/net/src/frontend/admission/connection.rs
@@ -23,7 +23,7 @@
 const AWAITING_RESPONSE_TIMEOUT: Duration = Duration::from_secs(48 * 60 * 60);
 /// Time for the client to read the last response and to close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes outside of requests that are discarded before the connection is ended.
+/// Limit of the bytes outside of requests that are discarded; beyond it the connection is closed.
 const MAX_DISCARDED_BYTES: usize = 4 << 20;
 /// Time in its phase after which a connection may be evicted while it is closing or receiving a
 /// request.
--- a/crates/net/src/frontend/admission/framing.rs
+++ b/crates/net/src/frontend/admission/framing.rs
@@ -61,7 +61,7 @@
             self.end_line();
             return;
         }
-        // Such a target would be forwarded to the endpoint in a different form.
+        // A target with a byte that is not allowed would be forwarded in a different form.
         self.has_invalid_request_line |=
             self.complete_lines == 0 && !is_allowed_in_request_line(byte);
         self.line_bytes += usize::from(byte != b'\r');
--- a/crates/net/src/frontend/gearman/clients/mod.rs
+++ b/crates/net/src/frontend/gearman/clients/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// Denominator of the progress that clients are told, which is in thousandths.
+/// Denominator of the progress that is sent to clients, in thousandths.
 const PROGRESS_DENOMINATOR: u64 = 1_000;
 /// Retry-After for a job that exceeds the limit of jobs in progress.
 const TOO_MANY_JOBS_RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/net/src/frontend/gearman/connection.rs
+++ b/crates/net/src/frontend/gearman/connection.rs
@@ -44,7 +44,7 @@
 
 /// A connection that was accepted, and what is needed to serve it.
 pub(super) struct AcceptedConnection {
-    /// Number of the connection, and of its worker session if it becomes that of a worker.
+    /// Number of the connection, and of its worker session if the peer registers functions.
     pub session_id: u64,
     pub opened_at: Timestamp,
     pub stream: TcpStream,
@@ -274,17 +274,17 @@
     fn job_updated(&self, handle: &str, update: AttemptUpdate) {
         let workers = &self.frontend.workers;
         let is_running = workers.job_updated(self.session_id, handle, update);
-        self.report_unknown_job(is_running);
+        self.report_unless_running(is_running);
     }
 
     fn job_ended(&self, handle: &str, outcome: AttemptOutcome) {
         let workers = &self.frontend.workers;
         let is_running = workers.job_ended(self.session_id, handle, outcome);
-        self.report_unknown_job(is_running);
+        self.report_unless_running(is_running);
     }
 
     /// Sends an error if the worker does not run the job that its packet names.
-    fn report_unknown_job(&self, is_running: bool) {
+    fn report_unless_running(&self, is_running: bool) {
         if !is_running {
             self.send_error("JOB_NOT_FOUND", "no such job here");
         }
--- a/crates/net/src/frontend/gearman/workers/kinds.rs
+++ b/crates/net/src/frontend/gearman/workers/kinds.rs
@@ -1,8 +1,8 @@
 //! Machine kinds that express which classes a worker session can serve.
 //!
 //! The functions of a worker determine a set of classes. The eligibility rules do not know such
-//! sets, but a class may allow certain machine kinds only. So each set of classes gets a machine
-//! kind of its own, which exactly the classes of the set allow.
+//! sets, but a class may allow certain machine kinds only. Each set of classes therefore gets its
+//! own machine kind, and every class allows the kinds of the sets that contain it.
 
 use pumiceway_decisions::api::{ClassId, KindId, Settings, ZoneId};
 
--- a/crates/net/src/frontend/gearman/workers/mod.rs
+++ b/crates/net/src/frontend/gearman/workers/mod.rs
@@ -41,7 +41,7 @@
 }
 
 impl WorkerSessions {
-    /// Creates an empty set of sessions, which are listed to the core through `events`.
+    /// Creates an empty set of sessions. Their endpoints are reported to the core through `events`.
     pub fn new(events: EventSender, kinds: SessionKinds, skips_slow_start: bool) -> WorkerSessions {
         WorkerSessions(Arc::new(Mutex::new(Inner {
             events,
@@ -295,8 +295,8 @@
         number
     }
 
-    /// Sends the core the endpoint of a session in this state, or in the state that
-    /// [`Session::endpoint`] derives for a worker that cannot take a job.
+    /// Reports the endpoint of a session to the core, in the given state unless the worker cannot
+    /// take a job; see [`Session::endpoint`].
     fn update_endpoint(&self, session_id: u64, state: EndpointState) {
         let Some(worker) = self.sessions.get(&session_id) else {
             return;
