--- a/crates/net/src/discovery/call_schedule.rs
+++ b/crates/net/src/discovery/call_schedule.rs
@@ -27,8 +27,8 @@
 const MIN_DELAY: Duration = Duration::from_millis(50);
 /// Each consecutive failure doubles the window of random delays, up to this many times.
 const MAX_DOUBLINGS: u32 = 3;
-/// The delay before an agent is called again grows with consecutive failures to at most this multiple
-/// of [`MIN_DELAY`], which avoids a busy loop while an agent is not up yet.
+/// The delay before an agent is called again grows with consecutive failures to at most this
+/// multiple of [`MIN_DELAY`], which avoids a busy loop while an agent is not up yet.
 const MAX_AGENT_DELAY_FACTOR: u32 = 2;
 /// A watch that was open for longer than this counts as successful even if it sent no new version.
 const MIN_SUCCESSFUL_WATCH: Duration = Duration::from_millis(2_500);
--- a/crates/net/src/event_loop/dispatcher.rs
+++ b/crates/net/src/event_loop/dispatcher.rs
@@ -176,8 +176,8 @@
 
 /// Adapts the configuration to the Gearman frontend and creates its worker sessions: reserves its
 /// connections in the socket budget and adds the machine kinds of worker sessions. Also limits the
-/// length of the queue, and sets the maximum queue time of classes that have none to their deadline;
-/// both apply to the requests of all frontends.
+/// length of the queue, and sets the maximum queue time of classes that have none to their
+/// deadline; both apply to the requests of all frontends.
 fn prepare_gearman(
     config: &mut Config,
     gearman: &GearmanConfig,
--- a/crates/net/src/event_loop/mod.rs
+++ b/crates/net/src/event_loop/mod.rs
@@ -86,8 +86,8 @@
     exit: bool,
     /// The watch whose updates renew the lease on the endpoint list.
     watch: Option<WatchTask>,
-    /// The watch at the new address after a reload has changed the address of discovery. It replaces
-    /// `watch` at its first update other than `Lost`.
+    /// The watch at the new address after a reload has changed the address of discovery. It
+    /// replaces `watch` at its first update other than `Lost`.
     next_watch: Option<WatchTask>,
 }
 
@@ -179,8 +179,8 @@
     }
 
     /// Handles the timer and the messages that were pending when it fired. The messages are handled
-    /// first: after a response or a disconnection among them, the timer may no longer cause a timeout
-    /// or an attempt.
+    /// first: after a response or a disconnection among them, the timer may no longer cause a
+    /// timeout or an attempt.
     fn on_timer(&mut self, batch: &mut Vec<LoopMessage>) {
         // Cleared before the messages are handled, because they may set the timer again.
         self.timer = None;
