--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -149,7 +149,7 @@
         /// The number of valid indices.
         count: usize,
     },
-    /// A setting has an unusable value.
-    #[error("{0} is not usable")]
+    /// The named setting has a value with which a balancer cannot work.
+    #[error("the setting `{0}` has an invalid value")]
     InvalidValue(&'static str),
 }
